--- a/bench/BurnBench.cpp
+++ b/bench/BurnBench.cpp
@@ -54,7 +54,7 @@
     BootTime now{1h};
     const BootTime begun = BootClock::now();
     for (unsigned i = 0; i < Requests; ++i, now += 1ms) {
-        report::RequestEnd end;
+        report::CompletedRequest end;
         end.service = services[random(serviceCount)];
         end.upstream = upstreams[random(upstreamCount)];
         end.failureDomain = "bne-a";
--- a/bench/HttpPathBench.cpp
+++ b/bench/HttpPathBench.cpp
@@ -43,8 +43,8 @@
         --this->left;
         ++this->inProgress;
         this->client.send(this->call, [this](const CallResult &result) {
-            if (result.end != CallEnd::Answered) {
-                std::fprintf(stderr, "call ended: %s\n", toText(result.end));
+            if (result.outcome != CallOutcome::Answered) {
+                std::fprintf(stderr, "call ended: %s\n", toText(result.outcome));
                 std::abort();
             }
             --this->inProgress;
--- a/bench/RaftBench.cpp
+++ b/bench/RaftBench.cpp
@@ -267,7 +267,7 @@
         Group group(folder, 0, 1000000, syncPerProposal);
         Load load(group, concurrency, [&group](const std::function<void(bool)> &done) {
             group.leading().propose(std::string(CommandBytes, 'c'), [done](const process::ProposeResult &result) {
-                done(result.kind == process::ProposeEnd::Applied);
+                done(result.kind == process::ProposeOutcome::Applied);
             });
         });
         report(syncPerProposal ? "commit, sync per proposal" : "commit, group commit", concurrency, load);
@@ -334,7 +334,7 @@
         Group group(folder, megabytes * 1024 * 1024, 8192, false);
         Load load(group, 16, [&group](const std::function<void(bool)> &done) {
             group.leading().propose(std::string(CommandBytes, 'c'), [done](const process::ProposeResult &result) {
-                done(result.kind == process::ProposeEnd::Applied);
+                done(result.kind == process::ProposeOutcome::Applied);
             });
         });
         const std::string what = "commit, state of " + std::to_string(megabytes) + " MB";
--- a/bench/RequestModel.h
+++ b/bench/RequestModel.h
@@ -95,12 +95,12 @@
         , agents(scenario.entryAgents)
         , servers(scenario.upstreams)
     {
-        this->outcome.shares.resize(scenario.upstreams);
+        this->summary.shares.resize(scenario.upstreams);
         for (Server &server : this->servers) {
             agent::GateSettingsBuilder builder;
             const unsigned ceiling = policy.adaptive ? scenario.slots : MostConnections;
             builder.ceiling(ceiling).adaptive(policy.adaptive).queueLength(policy.adaptive ? 64 : 1000);
-            builder.longestWait(policy.adaptive ? 250ms : 10000ms);
+            builder.maxWait(policy.adaptive ? 250ms : 10000ms);
             server.gate = agent::makeGate(builder.build().value(), BootTime());
             server.gate.limit.limit = ceiling;
         }
@@ -131,7 +131,7 @@
             this->now = event.time;
             event.task();
         }
-        return std::move(this->outcome);
+        return std::move(this->summary);
     }
 
 private:
@@ -214,7 +214,7 @@
         request->state.facts.service = "catalogue";
         request->state.facts.method = "GET";
         request->state.facts.deadline = this->now + this->scenario.deadline;
-        this->outcome.offered++;
+        this->summary.offered++;
         this->at(request->state.facts.deadline, [this, request] {
             this->handle(request, {.kind = agent::EventKind::DeadlinePassed});
         });
@@ -266,7 +266,7 @@
             this->answered(*request);
             break;
         case agent::ActionKind::Refuse:
-            (action.refusal.status == 504 ? this->outcome.expired : this->outcome.refused)++;
+            (action.refusal.status == 504 ? this->summary.expired : this->summary.refused)++;
             break;
         default:
             break;
@@ -275,18 +275,18 @@
 
     void answered(const Request &request)
     {
-        this->outcome.answered++;
-        this->outcome.latencies.push_back(
+        this->summary.answered++;
+        this->summary.latencies.push_back(
             std::chrono::duration<double, std::milli>(this->now - request.arrivedAt).count());
-        this->outcome.goodput[this->now.time_since_epoch() / 1s]++;
+        this->summary.goodput[this->now.time_since_epoch() / 1s]++;
     }
 
     void forward(const std::shared_ptr<Request> &request, const agent::RequestAction &action)
     {
-        this->outcome.sent++;
+        this->summary.sent++;
         const unsigned long ticket = ++this->lastTicket;
         request->attempts[action.attempt] = {action.upstream, this->now, ticket, false};
-        agent::noteSent(request->entry->routing, action.upstream, this->now);
+        agent::recordSent(request->entry->routing, action.upstream, this->now);
         this->tickets[ticket] = {request, action.attempt, action.upstream - 1, {}, false};
         this->at(this->now + this->scenario.oneWay, [this, ticket] {
             this->reachGate(ticket);
@@ -301,11 +301,11 @@
             return;
         }
         Server &server = this->servers[entry.server];
-        const auto admission = agent::arrive(server.gate, {ticket, request->state.facts.deadline}, this->now);
+        const auto admission = agent::requestAdmission(server.gate, {ticket, request->state.facts.deadline}, this->now);
         if (admission == agent::Admission::Admitted) {
             this->dispatch(ticket);
         } else if (admission != agent::Admission::Queued) {
-            this->reply(ticket, agent::AttemptEnd::NoRoom, false);
+            this->reply(ticket, agent::AttemptOutcome::Overloaded, false);
         }
         this->wakeQueue(entry.server);
     }
@@ -317,9 +317,9 @@
         Server &server = this->servers[entry.server];
         if (server.coldLeft > 0) {
             const double crowding = static_cast<double>(server.working.size() + server.inside.size() + 1) / ColdSlots;
-            this->outcome.coldCrowding = std::max(this->outcome.coldCrowding, crowding);
+            this->summary.coldCrowding = std::max(this->summary.coldCrowding, crowding);
         }
-        this->outcome.shares[entry.server]++;
+        this->summary.shares[entry.server]++;
         server.inside.push_back(ticket);
         this->work(entry.server);
     }
@@ -363,14 +363,14 @@
         if (server.coldLeft > 0) {
             server.coldLeft--;
         }
-        this->reply(ticket, agent::AttemptEnd::Answered, true);
-        this->leaveServer(ticket, index, agent::WorkEnd::Answered);
+        this->reply(ticket, agent::AttemptOutcome::Answered, true);
+        this->leaveServer(ticket, index, agent::WorkOutcome::Answered);
     }
 
-    void leaveServer(unsigned long ticket, unsigned index, agent::WorkEnd end)
+    void leaveServer(unsigned long ticket, unsigned index, agent::WorkOutcome outcome)
     {
         const nanoseconds latency = this->now - this->tickets.at(ticket).dispatchedAt;
-        agent::finish(this->servers[index].gate, end, latency, this->now);
+        agent::finish(this->servers[index].gate, outcome, latency, this->now);
         this->work(index);
         this->wakeQueue(index);
     }
@@ -378,14 +378,14 @@
     void wakeQueue(unsigned index)
     {
         Server &server = this->servers[index];
-        const agent::GateMoves moves = agent::move(server.gate, this->now);
+        const agent::GateDecisions moves = agent::processQueue(server.gate, this->now);
         for (const agent::TicketId ticket : moves.shed) {
-            this->reply(ticket, agent::AttemptEnd::NoRoom, false);
+            this->reply(ticket, agent::AttemptOutcome::Overloaded, false);
         }
         for (const agent::TicketId ticket : moves.admitted) {
             this->dispatch(ticket);
         }
-        const BootTime next = agent::nextMove(server.gate);
+        const BootTime next = agent::nextDispatchAt(server.gate);
         if (next == BootTime::max() || next <= this->now || server.wakeAt == next) {
             return;
         }
@@ -397,41 +397,46 @@
         });
     }
 
-    void reply(unsigned long ticket, agent::AttemptEnd end, bool mayHaveRun)
+    void reply(unsigned long ticket, agent::AttemptOutcome outcome, bool mayHaveRun)
     {
         const Ticket entry = this->tickets.at(ticket);
         if (entry.cancelled) {
             return;
         }
         const double load = this->scenario.lyingLoad ? 0 : agent::load(this->servers[entry.server].gate);
-        this->at(this->now + this->scenario.oneWay, [this, entry, end, mayHaveRun, load] {
+        this->at(this->now + this->scenario.oneWay, [this, entry, outcome, mayHaveRun, load] {
             if (const auto request = entry.request.lock()) {
-                this->replied(request, entry.attempt, end, mayHaveRun, load);
+                this->replied(request, entry.attempt, outcome, mayHaveRun, load);
             }
         });
     }
 
-    void
-    replied(const std::shared_ptr<Request> &request, unsigned id, agent::AttemptEnd end, bool mayHaveRun, double load)
+    void replied(const std::shared_ptr<Request> &request,
+                 unsigned id,
+                 agent::AttemptOutcome outcome,
+                 bool mayHaveRun,
+                 double load)
     {
         Attempt &attempt = request->attempts.at(id);
         if (std::exchange(attempt.ended, true)) {
             return;
         }
-        if (end == agent::AttemptEnd::Answered) {
-            agent::noteAnswered(request->entry->routing, attempt.upstream, this->now - attempt.sentAt, load, this->now);
+        if (outcome == agent::AttemptOutcome::Answered) {
+            agent::recordAnswered(
+                request->entry->routing, attempt.upstream, this->now - attempt.sentAt, load, this->now);
         } else {
-            agent::noteShed(request->entry->routing, attempt.upstream, this->now);
+            agent::recordShed(request->entry->routing, attempt.upstream, this->now);
         }
-        this->handle(request,
-                     {.kind = agent::EventKind::AttemptEnded, .attempt = id, .end = end, .mayHaveRun = mayHaveRun});
+        this->handle(
+            request,
+            {.kind = agent::EventKind::AttemptEnded, .attempt = id, .outcome = outcome, .mayHaveRun = mayHaveRun});
     }
 
     void cancel(const std::shared_ptr<Request> &request, unsigned id)
     {
         Attempt &attempt = request->attempts.at(id);
         attempt.ended = true;
-        agent::noteCancelled(request->entry->routing, attempt.upstream, this->now - attempt.sentAt, this->now);
+        agent::recordCancelled(request->entry->routing, attempt.upstream, this->now - attempt.sentAt, this->now);
         const unsigned long ticket = attempt.ticket;
         this->at(this->now + this->scenario.oneWay, [this, ticket] {
             this->cancelAtServer(ticket);
@@ -443,7 +448,7 @@
         Ticket &entry = this->tickets.at(ticket);
         entry.cancelled = true;
         Server &server = this->servers[entry.server];
-        if (agent::leave(server.gate, ticket)) {
+        if (agent::cancelQueued(server.gate, ticket)) {
             return;
         }
         const auto waiting = std::find(server.inside.begin(), server.inside.end(), ticket);
@@ -452,7 +457,7 @@
         } else if (server.working.erase(ticket) == 0) {
             return;
         }
-        this->leaveServer(ticket, entry.server, agent::WorkEnd::Lost);
+        this->leaveServer(ticket, entry.server, agent::WorkOutcome::Lost);
     }
 
     void turnCold()
@@ -472,7 +477,7 @@
     std::vector<Server> servers;
     std::vector<agent::Candidate> candidates;
     std::map<unsigned long, Ticket> tickets;
-    Outcome outcome;
+    Outcome summary;
 };
 
 /** @return requests per second that the upstreams can bear when warm */
--- a/bench/StateBench.cpp
+++ b/bench/StateBench.cpp
@@ -38,7 +38,7 @@
 /** Slices as planSplits() makes them: 64, doubled until each member can have its share; loads differ by a tenth. */
 std::vector<LoadedSlice> slicesFor(std::size_t members, std::size_t perMember)
 {
-    std::size_t count = State::FirstSlices;
+    std::size_t count = State::InitialSlices;
     while (count < members * perMember) {
         count *= 2;
     }
@@ -86,7 +86,7 @@
 {
     std::vector<LoadedSlice> slices = slicesFor(before.size(), perMember);
     carryOut(slices, assign(before, slices));
-    const double least = leastChurn(after, slices);
+    const double least = minChurn(after, slices);
     const double moved = carryOut(slices, assign(after, slices));
     std::printf("%-10s %7zu %7zu %8.4f %8.4f %7.2f %8.4f %9.3f\n",
                 event,
--- a/include/agent/AdaptiveLimit.h
+++ b/include/agent/AdaptiveLimit.h
@@ -44,11 +44,11 @@
     /** Latency of the upstream when it isn't crowded, in its present state; 0 when not measured yet. */
     std::chrono::nanoseconds reference{0};
     /** The limit was just cut: answers to requests from before say nothing. */
-    bool settling = false;
+    bool isSettling = false;
     /** Windows in a row whose latency was over the reference. */
-    unsigned crowdedWindows = 0;
+    unsigned congestedWindows = 0;
     /** Whether the limit was once too high in this phase; it grows by single steps from then on. */
-    bool wasCrowded = false;
+    bool wasCongested = false;
     LatencyWindow window;
 };
 
@@ -60,16 +60,16 @@
 };
 
 /** @return what a later gate of the same incarnation may start from */
-LearnedLimit learned(const AdaptiveLimit &limit);
+LearnedLimit learnedLimit(const AdaptiveLimit &limit);
 
 /**
  * Starts from what an earlier gate of the same incarnation had learned; ignored when nothing is known.
  * The reference comes along, so that an upstream which turned cold in between is noticed in the first window.
  */
-void resume(AdaptiveLimit &limit, const LearnedLimit &learned, BootTime now);
+void restoreLimit(AdaptiveLimit &limit, const LearnedLimit &learned, BootTime now);
 
 /** @return how many requests may be in progress now, 1..ceiling */
-unsigned allowed(const AdaptiveLimit &limit);
+unsigned allowedConcurrency(const AdaptiveLimit &limit);
 
 /** Starts over at one request: a new incarnation. */
 void startCold(AdaptiveLimit &limit, BootTime now);
@@ -82,12 +82,12 @@
  * @param latency from dispatch to answer
  * @param inProgress requests in progress at the answer, this one included
  */
-void noteAnswer(AdaptiveLimit &limit, std::chrono::nanoseconds latency, unsigned inProgress, BootTime now);
+void recordAnswer(AdaptiveLimit &limit, std::chrono::nanoseconds latency, unsigned inProgress, BootTime now);
 
 /** Counts a refusal by the upstream itself: it is fuller than thought. */
-void noteShed(AdaptiveLimit &limit, BootTime now);
+void recordShed(AdaptiveLimit &limit, BootTime now);
 
 /** Counts a request that got no answer within @p waited; it says at least that much about the latency. */
-void noteTimeout(AdaptiveLimit &limit, std::chrono::nanoseconds waited, unsigned inProgress, BootTime now);
+void recordTimeout(AdaptiveLimit &limit, std::chrono::nanoseconds waited, unsigned inProgress, BootTime now);
 
 } // namespace bergamotweir::agent
--- a/include/agent/BodyQueue.h
+++ b/include/agent/BodyQueue.h
@@ -19,7 +19,7 @@
     BodyId id = 0;
     std::size_t bytes = 0;
     /** Received whole later, it is of no use: the work on it would end too late. */
-    BootTime receiveBy = BootTime::max();
+    BootTime receiveDeadline = BootTime::max();
 };
 
 /** A body on the link. */
@@ -29,7 +29,7 @@
 };
 
 /** Decisions on the bodies that waited. */
-struct BodyMoves {
+struct BodyDecisions {
     std::vector<BodyId> admitted;
     /** They can't be received in time; surely not run. */
     std::vector<BodyId> refused;
@@ -53,27 +53,27 @@
     double meanBytes = 0;
     std::chrono::nanoseconds meanInterval{0};
     /** When the latest body ended, or the first one of a busy time began. */
-    BootTime lastEnd;
+    BootTime lastEndAt;
 };
 
 /** Bodies on the link at a time: one alone leaves it idle for the round trip between two. */
-constexpr std::size_t MostBodiesReceiving = 2;
+constexpr std::size_t MaxBodiesReceiving = 2;
 
 /** A body that takes longer has a sender that stalled, and doesn't count as being on the link. */
-constexpr std::chrono::milliseconds LongestTransfer{2000};
+constexpr std::chrono::milliseconds MaxTransferTime{2000};
 
-/** A body is announced. @return Admitted: it may come now; Queued: finish() tells; NoRoom: it would be late */
-Admission arrive(BodyQueue &queue, const AnnouncedBody &body, BootTime now);
+/** A body is announced. @return Admitted: it may come now; Queued: finish() tells; Overloaded: it would be late */
+Admission requestAdmission(BodyQueue &queue, const AnnouncedBody &body, BootTime now);
 
 /**
  * A body was received whole, or its sender is gone, while on the link or waiting.
  * @param whole whether it was received whole, which the rate is learnt from
  * @return what becomes of those that waited
  */
-BodyMoves finish(BodyQueue &queue, BodyId id, bool whole, BootTime now);
+BodyDecisions finish(BodyQueue &queue, BodyId id, bool whole, BootTime now);
 
 /** Looks again whether waiting bodies may come; to be called now and then while any waits. */
-BodyMoves move(BodyQueue &queue, BootTime now);
+BodyDecisions processQueue(BodyQueue &queue, BootTime now);
 
 /** @return the time that the link needs for so many bytes; 0 when its rate isn't known */
 std::chrono::nanoseconds transferTime(const BodyQueue &queue, std::size_t bytes);
--- a/include/agent/CrashWatch.h
+++ b/include/agent/CrashTracker.h
@@ -27,7 +27,7 @@
 
 /** A bounded set of fingerprints that forgets the one not noted for longest. */
 struct RecentFingerprints {
-    std::size_t most = 4096;
+    std::size_t capacity = 4096;
     std::list<std::uint64_t> order;
     std::unordered_map<std::uint64_t, std::list<std::uint64_t>::iterator> places;
 };
@@ -44,7 +44,7 @@
  * is. Suspects then run one at a time at an upstream, so that a second crash has one suspect in progress; it alone is
  * blamed, and the innocents beside it aren't refused. One per agent.
  */
-struct CrashWatch {
+struct CrashTracker {
     /** Requests at the upstream, per fingerprint. */
     std::map<std::uint64_t, unsigned> inProgress;
     /** In progress at a crash here, or marked so by the agent that sent them. */
@@ -54,29 +54,29 @@
 };
 
 /** A request was in progress when its upstream's connection broke, as the agent that sent it saw. */
-void suspect(CrashWatch &watch, std::uint64_t value);
+void markSuspect(CrashTracker &tracker, std::uint64_t value);
 
-bool isSuspect(const CrashWatch &watch, std::uint64_t value);
+bool isSuspect(const CrashTracker &tracker, std::uint64_t value);
 
 /** @return whether it may be dispatched now: not a suspect, or no suspect is in progress */
-bool mayRun(const CrashWatch &watch, std::uint64_t value);
+bool canRun(const CrashTracker &tracker, std::uint64_t value);
 
 /** A request is dispatched. */
-void began(CrashWatch &watch, std::uint64_t value);
+void recordBegin(CrashTracker &tracker, std::uint64_t value);
 
 /** It ended at the upstream. @param answered whether with a whole answer, which clears its kind */
-void ended(CrashWatch &watch, std::uint64_t value, bool answered);
+void recordEnd(CrashTracker &tracker, std::uint64_t value, bool answered);
 
 /**
  * The upstream crashed.
- * @param broken the fingerprints of the requests whose connections broke with it, before ended() is called for them
+ * @param broken the fingerprints of the requests whose connections broke with it, before recordEnd() is called for them
  * @param incarnation of the upstream that crashed
  * @param unixTime stated in the report
  * @return whom to report; empty when nobody is suspected
  */
-wire::ReportCrash crashed(CrashWatch &watch,
-                          const std::set<std::uint64_t> &broken,
-                          const std::string &incarnation,
-                          std::chrono::milliseconds unixTime);
+wire::ReportCrash recordCrash(CrashTracker &tracker,
+                              const std::set<std::uint64_t> &broken,
+                              const std::string &incarnation,
+                              std::chrono::milliseconds unixTime);
 
 } // namespace bergamotweir::agent
--- a/include/agent/Gate.h
+++ b/include/agent/Gate.h
@@ -2,7 +2,7 @@
 
 #include "agent/AdaptiveLimit.h"
 #include "agent/GateSettings.h"
-#include "agent/Urgency.h"
+#include "agent/QueuePriority.h"
 
 #include <cstdint>
 #include <deque>
@@ -17,7 +17,7 @@
 struct Ticket {
     TicketId id = 0;
     BootTime deadline;
-    Urgency urgency = {};
+    QueuePriority queuePriority = {};
 };
 
 /** What becomes of a request that arrives at a gate. */
@@ -25,7 +25,7 @@
     Admitted,
     Queued,
     /** It can't be served in time; it surely did not run. */
-    NoRoom,
+    Overloaded,
     /** The same, at the limit of the table. */
     OverLimit,
     /** The upstream takes no work now; said by the gate's owner. */
@@ -36,7 +36,7 @@
 const char *toText(Admission admission);
 
 /** How an admitted request left the upstream. */
-enum class WorkEnd {
+enum class WorkOutcome {
     Answered,
     /** The upstream refused it as too much. */
     Shed,
@@ -46,7 +46,7 @@
 };
 
 /** Requests that the gate let go of. */
-struct GateMoves {
+struct GateDecisions {
     std::vector<TicketId> admitted;
     /** Too old to be served in time; surely not run. */
     std::vector<TicketId> shed;
@@ -66,7 +66,7 @@
     unsigned inProgress = 0;
     /** In the order in which they are served. */
     std::deque<Ticket> queue;
-    /** Pushed out of a full queue by more urgent ones; move() tells. */
+    /** Pushed out of a full queue by more urgent ones; processQueue() tells. */
     std::vector<TicketId> displaced;
     /** Open connections without a request. */
     unsigned idleConnections = 0;
@@ -74,7 +74,7 @@
     /** The upstream is cold before this point, as it says itself. */
     BootTime coldUntil;
     /** A cold upstream gets no further request before this point. */
-    BootTime nextCold;
+    BootTime nextColdDispatchAt;
     /** Mean time that a request takes, smoothed; 0 when not known. */
     std::chrono::nanoseconds serviceTime{0};
 };
@@ -99,25 +99,25 @@
  * A request arrives. It is refused at once when it can't be served in its time, or when the queue is full of requests
  * that go before it; the last one of a full queue makes room for one that goes before it.
  */
-Admission arrive(Gate &gate, const Ticket &ticket, BootTime now);
+Admission requestAdmission(Gate &gate, const Ticket &ticket, BootTime now);
 
-/** @return what arrive() would say, without taking the request in */
-Admission outlook(const Gate &gate, const Ticket &ticket, BootTime now);
+/** @return what requestAdmission() would say, without taking the request in */
+Admission previewAdmission(const Gate &gate, const Ticket &ticket, BootTime now);
 
 /** A waiting request is given up. @return false when it wasn't waiting */
-bool leave(Gate &gate, TicketId ticket);
+bool cancelQueued(Gate &gate, TicketId ticket);
 
 /** An admitted request has surely ended. @param latency since its dispatch */
-void finish(Gate &gate, WorkEnd end, std::chrono::nanoseconds latency, BootTime now);
+void finish(Gate &gate, WorkOutcome outcome, std::chrono::nanoseconds latency, BootTime now);
 
-/** Lets waiting requests through; to be called after finish() and at nextMove(). */
-GateMoves move(Gate &gate, BootTime now);
+/** Lets waiting requests through; to be called after finish() and at nextDispatchAt(). */
+GateDecisions processQueue(Gate &gate, BootTime now);
 
 /** The upstream takes no work now. @return all who waited; surely not run */
-std::vector<TicketId> takeAll(Gate &gate);
+std::vector<TicketId> removeAllQueued(Gate &gate);
 
-/** @return when move() may have something to do without a finish(); BootTime::max() when never */
-BootTime nextMove(const Gate &gate);
+/** @return when processQueue() may have something to do without a finish(); BootTime::max() when never */
+BootTime nextDispatchAt(const Gate &gate);
 
 /** @return the time that a request would wait with so many others ahead of it */
 std::chrono::nanoseconds expectedWait(const Gate &gate, std::size_t ahead);
--- a/include/agent/GateSettings.h
+++ b/include/agent/GateSettings.h
@@ -15,13 +15,13 @@
     /** Most connections to the upstream. */
     unsigned connections = 128;
     /** Least time between two new connections: four times what one costs the upstream. */
-    std::chrono::microseconds connectionPace{4000};
+    std::chrono::microseconds minConnectionInterval{4000};
     /** Most requests that wait. */
     unsigned queueLength = 64;
     /** Longest wait that is worth more than a refusal. */
-    std::chrono::milliseconds longestWait{250};
+    std::chrono::milliseconds maxWait{250};
     /** Requests a second that the upstream bears while it is cold; 0 where nothing is known. */
-    double coldPerSecond = 0;
+    double maxColdRate = 0;
     /** False keeps the limit at the ceiling: for upstreams whose slots are known, and as a baseline. */
     bool adaptive = true;
 
@@ -35,10 +35,10 @@
     GateSettingsBuilder &ceiling(unsigned value);
     GateSettingsBuilder &ceilingIsTableLimit(bool value);
     GateSettingsBuilder &connections(unsigned value);
-    GateSettingsBuilder &connectionPace(std::chrono::microseconds value);
+    GateSettingsBuilder &minConnectionInterval(std::chrono::microseconds value);
     GateSettingsBuilder &queueLength(unsigned value);
-    GateSettingsBuilder &longestWait(std::chrono::milliseconds value);
-    GateSettingsBuilder &coldPerSecond(double value);
+    GateSettingsBuilder &maxWait(std::chrono::milliseconds value);
+    GateSettingsBuilder &maxColdRate(double value);
     GateSettingsBuilder &adaptive(bool value);
 
     /** @return the settings, or everything that is wrong with them */
--- a/include/agent/GrantOrders.h
+++ b/include/agent/GrantOrders.h
@@ -29,13 +29,13 @@
 };
 
 /** What became of an order. */
-enum class OrderEnd {
+enum class OrderOutcome {
     /** The upstream has carried it out. */
     Done,
     /** The upstream knows a higher epoch for one of the keys. */
     Outdated,
     /** The upstream surely didn't take it: another process listens there, or none. */
-    NotTaken,
+    NotReceived,
     /** No answer: it may have been carried out, or may be later. */
     Unknown
 };
@@ -50,13 +50,13 @@
 struct KeyHold {
     HeldRange range;
     /** Grants that were answered run out here or later. */
-    BootTime surelyUntil;
+    BootTime confirmedUntil;
     /** All grants, answered or not, have run out here. */
-    BootTime perhapsUntil;
+    BootTime possiblyHeldUntil;
     /** Grants without an answer have run out here: until then one of them may be carried out after a release. */
     BootTime unansweredUntil;
     /** Not ordered again before this point. */
-    BootTime nextOrder;
+    BootTime nextOrderAt;
     /** A release was answered: what is left ends by its time, and asking again changes nothing. */
     bool released = false;
 };
@@ -64,11 +64,11 @@
 /** Times of grants and releases. */
 struct GrantTimes {
     /** Length of a grant. Short, so that one carried out seconds late has nothing left of its time. */
-    std::chrono::milliseconds hold{1800};
+    std::chrono::milliseconds grantDuration{1800};
     /** Shorter grants are not worth a call. */
-    std::chrono::milliseconds shortestHold{200};
+    std::chrono::milliseconds minGrantDuration{200};
     /** A grant with less than this left is renewed. */
-    std::chrono::milliseconds renewBelow{1100};
+    std::chrono::milliseconds renewThreshold{1100};
     /** A grant without an answer is given up after this time. */
     std::chrono::milliseconds grantTimeout{300};
     /** The same for a release, which is answered when the work that runs on its keys has ended. */
@@ -76,7 +76,7 @@
     /** Pause after an order that failed. */
     std::chrono::milliseconds retryAfter{100};
     /** Part by which the upstream's clock may run slow, and so hold longer. */
-    double slowClock = 0.02;
+    double maxClockSlowdown = 0.02;
 };
 
 /**
@@ -103,25 +103,26 @@
  * @param wanted what the upstream is to hold
  * @param unwanted what it is to give up, by the epoch under which it was granted
  * @param leaseUntil no grant may hold beyond this point
- * @return orders to be sent at once, each ended by orderEnded() exactly once
+ * @return orders to be sent at once, each ended by recordOrderOutcome() exactly once
  */
-std::vector<GrantOrder> ordersDue(GrantOrders &orders,
-                                  const std::vector<WantedKeys> &wanted,
-                                  const std::vector<HeldRange> &unwanted,
-                                  BootTime leaseUntil,
-                                  BootTime now);
+std::vector<GrantOrder> takeDueOrders(GrantOrders &orders,
+                                      const std::vector<WantedKeys> &wanted,
+                                      const std::vector<HeldRange> &unwanted,
+                                      BootTime leaseUntil,
+                                      BootTime now);
 
 /** Notes what became of an order; another's id is ignored. */
-void orderEnded(GrantOrders &orders, OrderId id, OrderEnd end, BootTime now);
+void recordOrderOutcome(GrantOrders &orders, OrderId id, OrderOutcome outcome, BootTime now);
 
 /** The upstream said that it doesn't hold a key that was granted: its range is ordered again before it is served. */
-void disowned(GrantOrders &orders, std::uint64_t hash);
+void recordKeyNotHeld(GrantOrders &orders, std::uint64_t hash);
 
 /** Forgets what has run out. @return what the upstream may hold now, and which of it for sure */
-std::vector<HeldRange> heldNow(GrantOrders &orders, BootTime now);
+std::vector<HeldRange> currentlyHeld(GrantOrders &orders, BootTime now);
 
-/** @return when, after now, ordersDue() or heldNow() may have something new to say; BootTime::max() when never */
-BootTime nextLook(const GrantOrders &orders, BootTime now);
+/** @return when, after now, takeDueOrders() or currentlyHeld() may have something new to say; BootTime::max() when
+ * never */
+BootTime nextCheckAt(const GrantOrders &orders, BootTime now);
 
 /** The upstream's process has surely ended: it holds nothing, and no order reaches it any more. */
 void forgetAll(GrantOrders &orders);
--- a/include/agent/Lease.h
+++ b/include/agent/Lease.h
@@ -23,7 +23,7 @@
  *
  * Guard against two owners of one key. It shows when an agent that was frozen, suspended or cut off goes on serving
  * after control has granted its keys to another. A lease runs from the moment its renewal was sent, on the boot clock,
- * so it ends here before control's own count of it ends; a dispatch asks holds() at the moment of dispatch.
+ * so it ends here before control's own count of it ends; a dispatch asks isValidAt() at the moment of dispatch.
  * Owned by the agent process. A restarted agent starts with an empty one and so serves nothing.
  */
 struct Lease {
@@ -51,14 +51,14 @@
 void endSession(Lease &lease);
 
 /** Tells that the first full StateUpdate of @p session has been applied; another session's is ignored. */
-void fullStateApplied(Lease &lease, std::uint64_t session);
+void recordFullState(Lease &lease, std::uint64_t session);
 
 /**
  * Notes a renewal about to be sent.
  * @param now the time before it is handed to the network
  * @return the sequence number it carries
  */
-std::uint64_t noteRenewal(Lease &lease, BootTime now);
+std::uint64_t recordRenewal(Lease &lease, BootTime now);
 
 /**
  * Extends the lease by a confirmed renewal.
@@ -72,6 +72,6 @@
 std::optional<BootTime> sentAt(const Lease &lease, std::uint64_t session, std::uint64_t sequence);
 
 /** @return whether the lease covers a dispatch at @p now */
-bool holds(const Lease &lease, BootTime now);
+bool isValidAt(const Lease &lease, BootTime now);
 
 } // namespace bergamotweir::agent
--- a/include/agent/LimitShares.h
+++ b/include/agent/LimitShares.h
@@ -18,7 +18,7 @@
 
 /** What an agent may let through of one workspace's limit, and what its callers ask for. */
 struct LimitShare {
-    /** Part of table::mostInWindow() that the agent lets through in every window, from 0 to 1. */
+    /** Part of table::maxInWindow() that the agent lets through in every window, from 0 to 1. */
     double share = 0;
     /** When requests of the last window were let through by the share, oldest first. */
     std::deque<BootTime> used;
@@ -27,7 +27,7 @@
     /** Requests that were refused since control was last asked for permits. */
     unsigned wanted = 0;
     /** The share is used up: a permit is wanted ahead of the next request. */
-    bool wantsAhead = false;
+    bool wantsExtraPermit = false;
     /** Requests since the last sample, let through or not. */
     double offered = 0;
     /** Requests a second, smoothed over samples. */
@@ -77,7 +77,7 @@
     /** When a permit may be there, or the share lets the next request through. */
     std::chrono::milliseconds retryAfter{0};
     /** Control should be asked at once. */
-    bool ask = false;
+    bool shouldAskControl = false;
 };
 
 /** @return whether the request may be sent on */
--- a/include/agent/LoadSketch.h
+++ b/include/agent/LoadSketch.h
@@ -14,7 +14,7 @@
 namespace bergamotweir::agent {
 
 /** One key that a sketch watches. */
-struct WatchedKey {
+struct TrackedKey {
     std::uint64_t hash = 0;
     /** Requests counted, at most error of which may belong to keys that were watched here before. */
     std::uint64_t count = 0;
@@ -26,7 +26,7 @@
     std::uint64_t requests = 0;
     /** By the slice's begin. */
     std::map<std::uint64_t, std::uint64_t> slices;
-    std::vector<WatchedKey> keys;
+    std::vector<TrackedKey> keys;
     /** Answers of the upstream here, and the time that it worked on them. */
     std::uint32_t answers = 0;
     std::chrono::nanoseconds worked{0};
@@ -34,16 +34,16 @@
 
 /**
  * What an upstream's load consists of: requests per slice and the heaviest keys, in memory that doesn't grow with keys
- * (Space-Saving, Metwally et al. 2005: a key with more than a MostKeys-th of the requests is always among those
+ * (Space-Saving, Metwally et al. 2005: a key with more than a MaxTrackedKeys-th of the requests is always among those
  * watched). Owned by the agent; told to control with every tenth heartbeat and then begun anew.
  */
 struct LoadSketch {
     /** Keys watched for a service. */
-    static constexpr std::size_t MostKeys = 64;
+    static constexpr std::size_t MaxTrackedKeys = 64;
     /** Keys told for a service. */
-    static constexpr std::size_t MostTold = 16;
+    static constexpr std::size_t MaxReportedKeys = 16;
     /** Minimum share of the service's requests here for which a key is reported. */
-    static constexpr double LeastShare = 0.02;
+    static constexpr double MinReportedShare = 0.02;
 
     std::map<std::string, ServiceLoad, std::less<>> services;
     BootTime since{};
--- a/include/agent/Ownership.h
+++ b/include/agent/Ownership.h
@@ -45,23 +45,23 @@
      * Whether upstreams keep grants of their own, renewed when they send a heartbeat. Such an upstream serves a key
      * only while it holds it, and a revoked slice is released only once the upstream holds it no more.
      */
-    bool upstreamsHold = false;
+    bool upstreamsHoldGrants = false;
     /**
      * Services whose upstream has said what it holds since this agent started. An upstream outlives its agent: until it
      * speaks, or all that the agent before may have granted has run out, it may hold anything.
      */
-    std::set<std::string, std::less<>> heardFrom;
-    bool grantsOfPredecessorEnded = false;
+    std::set<std::string, std::less<>> servicesReported;
+    bool predecessorGrantsExpired = false;
     /** Per service, what the upstream may hold at this moment. */
     std::map<std::string, std::vector<HeldRange>, std::less<>> held;
     /** Revoked slices that the upstream was told to give up: no new work from then on. */
-    std::set<SliceKey> withheld;
+    std::set<SliceKey> revokesSent;
     /** What upstreams gave out with slices that they gave up, for the next owner. */
     std::map<SliceKey, std::string> handovers;
 };
 
 /** Why a keyed request may not be dispatched here. */
-enum class Refusal {
+enum class OwnershipRefusal {
     None,
     /** Another upstream owns the slice, or nobody does. */
     NotOwner,
@@ -75,13 +75,13 @@
  * @param now the time of the dispatch
  * @param slice receives the slice when the answer is None
  */
-Refusal checkOwnership(const Ownership &ownership,
-                       const RouteMap &map,
-                       const Lease &lease,
-                       std::string_view service,
-                       std::uint64_t hash,
-                       BootTime now,
-                       Slice *slice);
+OwnershipRefusal checkOwnership(const Ownership &ownership,
+                                const RouteMap &map,
+                                const Lease &lease,
+                                std::string_view service,
+                                std::uint64_t hash,
+                                BootTime now,
+                                Slice *slice);
 
 /** @return checkOwnership() == None */
 bool ownsLocally(const Ownership &ownership,
@@ -95,7 +95,7 @@
 bool covers(const std::vector<HeldRange> &held, const RouteMap &map, std::string_view service, const Slice &slice);
 
 /** Handles a key that the upstream disowned: its range counts as not held until it is granted again. */
-void disowned(Ownership &ownership, std::string_view service, std::uint64_t hash);
+void recordKeyNotHeld(Ownership &ownership, std::string_view service, std::uint64_t hash);
 
 /** Counts work on a key from its dispatch until it has surely ended; endWork() is called with the same key. */
 void beginWork(Ownership &ownership, const std::string &service, std::uint64_t hash);
--- a/include/agent/Urgency.h
+++ b/include/agent/QueuePriority.h
@@ -7,15 +7,15 @@
 namespace bergamotweir::agent {
 
 /** In which order waiting requests are served, and how long waiting makes sense. */
-struct Urgency {
+struct QueuePriority {
     /** 0 is the most urgent; a less urgent one waits for all that are more urgent. */
     unsigned priority = 0;
     /** Among equals, the earlier goes first: a request that has to be quick overtakes one that has time. */
-    BootTime orderBy{};
+    BootTime targetDeadline{};
     /** Not handed to an upstream by then, it is refused, as its answer would come too late to be worth much. */
-    BootTime startBy = BootTime::max();
+    BootTime dispatchDeadline = BootTime::max();
     /** A key whose owner is being changed is waited for until then. */
-    BootTime ownerBy = BootTime::max();
+    BootTime ownerWaitDeadline = BootTime::max();
 };
 
 /** What the routes say of a request's time. */
@@ -35,9 +35,9 @@
  * with each the request that made it is lost after its work was done.
  * @param acceptedAt when its first agent took it
  */
-Urgency urgencyOf(const TimeTargets &targets, BootTime acceptedAt);
+QueuePriority queuePriorityOf(const TimeTargets &targets, BootTime acceptedAt);
 
 /** @return whether one goes before the other */
-bool goesBefore(const Urgency &one, const Urgency &other);
+bool hasPriorityOver(const QueuePriority &one, const QueuePriority &other);
 
 } // namespace bergamotweir::agent
--- a/include/agent/RequestAction.h
+++ b/include/agent/RequestAction.h
@@ -36,7 +36,7 @@
 };
 
 /** What is recorded with a claim. */
-enum class ClaimEnd {
+enum class ClaimResolution {
     /** Surely didn't run: the id may be claimed again. */
     Released,
     /** The attempt's answer. */
@@ -61,15 +61,15 @@
 };
 
 /** The problem to answer with. */
-struct RefusalFacts {
+struct RefusalDetails {
     RefusalCause cause = RefusalCause::Attempt;
-    AttemptEnd end = AttemptEnd::NotOwner;
+    AttemptOutcome outcome = AttemptOutcome::NotOwner;
     int status = 0;
     Ran ran = Ran::Unknown;
     /** Whether coming back later helps. */
     bool retryAfter = false;
     /** When the caller may come back, where that is known. */
-    std::optional<std::chrono::milliseconds> comeBackAfter = std::nullopt;
+    std::optional<std::chrono::milliseconds> retryAfterDelay = std::nullopt;
 };
 
 /** One action; only the fields of its kind are set. */
@@ -78,8 +78,8 @@
     unsigned attempt = 0;
     std::uint32_t upstream = 0;
     std::chrono::nanoseconds delay{0};
-    RefusalFacts refusal{};
-    ClaimEnd outcome = ClaimEnd::Unknown;
+    RefusalDetails refusal{};
+    ClaimResolution claimResolution = ClaimResolution::Unknown;
 };
 
 } // namespace bergamotweir::agent
--- a/include/agent/RequestEvent.h
+++ b/include/agent/RequestEvent.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "agent/AttemptEnd.h"
+#include "agent/AttemptOutcome.h"
 
 #include <cstdint>
 
@@ -25,7 +25,7 @@
     AttemptEnded,
     HedgeDue,
     DeadlinePassed,
-    CallerGone
+    CallerDisconnected
 };
 
 /** What control said about a claim; mirrors wire::ClaimVerdict with the recorded cases told apart. */
@@ -52,7 +52,7 @@
     std::uint32_t upstream = 0;
     bool local = false;
     unsigned attempt = 0;
-    AttemptEnd end = AttemptEnd::Answered;
+    AttemptOutcome outcome = AttemptOutcome::Answered;
     bool mayHaveRun = false;
 };
 
--- a/include/agent/RequestState.h
+++ b/include/agent/RequestState.h
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "agent/AttemptEnd.h"
-#include "agent/Urgency.h"
+#include "agent/AttemptOutcome.h"
+#include "agent/QueuePriority.h"
 #include "base/BootClock.h"
 
 #include <cstdint>
@@ -62,11 +62,11 @@
     /** Whether a request that may have run may be sent again, where the routes say so; else the method tells. */
     std::optional<bool> repeatable = std::nullopt;
     /** Most upstreams that it may be sent to. */
-    unsigned mostTries = MaxTries;
+    unsigned maxTries = MaxTries;
     /** How long waiting makes sense, and who goes before whom. */
-    Urgency urgency = {};
+    QueuePriority queuePriority = {};
     /** Whether a second send may run beside a slow first one. */
-    bool hedged = true;
+    bool canHedge = true;
 };
 
 /**
@@ -89,11 +89,11 @@
     /** Upstreams that ended an attempt without an answer. */
     std::vector<std::uint32_t> tried;
     /** How the last attempt without an answer ended. */
-    AttemptEnd lastEnd = AttemptEnd::NotOwner;
+    AttemptOutcome lastOutcome = AttemptOutcome::NotOwner;
 };
 
 /** @return whether the request may be sent again although an earlier send may have run */
-bool mayRepeat(const RequestFacts &facts);
+bool canRetry(const RequestFacts &facts);
 
 /** @return whether RFC 9110 lets the method be sent twice */
 bool isIdempotent(const std::string &method);
--- a/include/agent/RequestStep.h
+++ b/include/agent/RequestStep.h
@@ -18,8 +18,8 @@
 };
 
 /** Bounds of the pause before a request that found no owner or no room looks again. */
-constexpr std::chrono::milliseconds ShortestPause{5};
-constexpr std::chrono::milliseconds LongestPause{25};
+constexpr std::chrono::milliseconds MinPause{5};
+constexpr std::chrono::milliseconds MaxPause{25};
 
 /**
  * Moves a request on by one event.
--- a/include/agent/ComeBack.h
+++ b/include/agent/RetryAfter.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "agent/AttemptEnd.h"
+#include "agent/AttemptOutcome.h"
 
 #include <pcg_random.hpp>
 
@@ -16,9 +16,9 @@
  * still be in its target. Where nobody serves the key or the route now, an owner is granted it within a heartbeat or
  * two: who comes back sooner is surely refused again, and has no further try. Both are spread, so that callers who were
  * refused together don't return together.
- * @param end why the last attempt ended
+ * @param outcome why the last attempt ended
  * @return the time to wait
  */
-std::chrono::milliseconds comeBackAfter(AttemptEnd end, pcg32 &random);
+std::chrono::milliseconds chooseRetryAfter(AttemptOutcome outcome, pcg32 &random);
 
 } // namespace bergamotweir::agent
--- a/include/agent/RetryBudget.h
+++ b/include/agent/RetryBudget.h
@@ -13,7 +13,7 @@
     /** Earned by each first send. */
     double ratio = 0.05;
     /** Most that can be saved up, so that a quiet hour doesn't pay for a storm. */
-    double most = 10;
+    double maxTokens = 10;
     double tokens = 10;
 };
 
--- a/include/agent/RouteMap.h
+++ b/include/agent/RouteMap.h
@@ -49,7 +49,7 @@
 };
 
 /** What became of a StateUpdate. */
-enum class UpdateEnd {
+enum class UpdateOutcome {
     Applied,
     /** Older than what is in force: it came from a replica that is behind, and was left out. */
     Older
@@ -64,7 +64,7 @@
  * which still holds an old table. Versions order all that control hands out, and an older one is refused here.
  * @param update a full state or a change on the same session
  */
-UpdateEnd apply(RouteMap &map, const wire::StateUpdate &update);
+UpdateOutcome apply(RouteMap &map, const wire::StateUpdate &update);
 
 /** @return the slice that holds @p hash, or nothing when the service has none */
 std::optional<Slice> findSlice(const RouteMap &map, std::string_view service, std::uint64_t hash);
--- a/include/agent/Router.h
+++ b/include/agent/Router.h
@@ -56,9 +56,9 @@
      * Below this load an upstream in the agent's own failure domain is taken before any other; 0 treats all alike.
      * Bytes between failure domains cost money, and within one they cost nothing.
      */
-    double localUntilLoad = 0;
+    double maxLocalLoad = 0;
     std::map<std::uint32_t, UpstreamHealth> health;
-    std::uint64_t turn = 0;
+    std::uint64_t nextIndex = 0;
     /** Lower median of the upstreams' latencies, and when it was found. */
     std::chrono::nanoseconds median{0};
     BootTime medianAt;
@@ -82,20 +82,20 @@
                      BootTime now);
 
 /** A request goes to @p upstream. */
-void noteSent(ServiceRouting &routing, std::uint32_t upstream, BootTime now);
+void recordSent(ServiceRouting &routing, std::uint32_t upstream, BootTime now);
 
 /** It was answered. @param load of the answer's Upstream-Load; below 0 when it had none */
-void noteAnswered(
+void recordAnswered(
     ServiceRouting &routing, std::uint32_t upstream, std::chrono::nanoseconds latency, double load, BootTime now);
 
 /** It was shed: the upstream is fuller than its last answer said, which is no fault of it. */
-void noteShed(ServiceRouting &routing, std::uint32_t upstream, BootTime now);
+void recordShed(ServiceRouting &routing, std::uint32_t upstream, BootTime now);
 
 /** It failed. @param waited since it was sent */
-void noteFailed(ServiceRouting &routing, std::uint32_t upstream, std::chrono::nanoseconds waited, BootTime now);
+void recordFailed(ServiceRouting &routing, std::uint32_t upstream, std::chrono::nanoseconds waited, BootTime now);
 
 /** It was given up, as the loser of a hedge or with its caller. @param waited since it was sent */
-void noteCancelled(ServiceRouting &routing, std::uint32_t upstream, std::chrono::nanoseconds waited, BootTime now);
+void recordCancelled(ServiceRouting &routing, std::uint32_t upstream, std::chrono::nanoseconds waited, BootTime now);
 
 /** @return whether the upstream is ejected at @p now */
 bool isEjected(const ServiceRouting &routing, std::uint32_t upstream, BootTime now);
--- a/include/base/Backoff.h
+++ b/include/base/Backoff.h
@@ -10,7 +10,7 @@
 struct BackoffSettings {
     /** Longest pause after the first failure; doubles with each further one in a row. */
     std::chrono::milliseconds first{25};
-    std::chrono::milliseconds most{200};
+    std::chrono::milliseconds max{200};
 };
 
 /**
@@ -18,7 +18,7 @@
  * @param failures so far; 0 gives the first time
  * @return the time, at most settings.most
  */
-std::chrono::milliseconds grown(const BackoffSettings &settings, unsigned failures);
+std::chrono::milliseconds exponentialDelay(const BackoffSettings &settings, unsigned failures);
 
 /**
  * Chooses the pause before the next try.
@@ -27,6 +27,6 @@
  * @param failures so far, at least 1
  * @return the pause
  */
-std::chrono::milliseconds nextPause(const BackoffSettings &settings, unsigned failures, pcg32 &random);
+std::chrono::milliseconds nextBackoff(const BackoffSettings &settings, unsigned failures, pcg32 &random);
 
 } // namespace bergamotweir
--- a/include/cli/Setting.h
+++ b/include/cli/Setting.h
@@ -13,7 +13,7 @@
     std::string_view expected;
     /** A value to write instead of a bad one. */
     std::string_view example;
-    bool (*good)(std::string_view value);
+    bool (*isValid)(std::string_view value);
 };
 
 /** One setting of a command: the flag --name, and the variable BERGAMOTWEIR_NAME which the flag beats. */
--- a/include/cli/ValueKinds.h
+++ b/include/cli/ValueKinds.h
@@ -17,7 +17,7 @@
 extern const ValueKind PortKind;
 extern const ValueKind EndpointKind;
 extern const ValueKind EndpointsKind;
-extern const ValueKind ReplicaPlaceKind;
+extern const ValueKind ReplicaAddressKind;
 extern const ValueKind ReplicasKind;
 extern const ValueKind PathKind;
 extern const ValueKind NumberKind;
--- a/include/cli/Values.h
+++ b/include/cli/Values.h
@@ -23,7 +23,7 @@
     void addArgument(std::string value);
 
     /** @return true when flag or variable gave the setting */
-    bool given(std::string_view setting) const;
+    bool isSet(std::string_view setting) const;
 
     /** @return the value; empty when neither given nor defaulted */
     std::string text(std::string_view setting) const;
--- a/include/control/AgentBook.h
+++ b/include/control/AgentRegistry.h
@@ -20,39 +20,39 @@
     /** The newest session; 0 when there is none. */
     SessionId session = 0;
     /** The full state has been sent on the session: changes follow it, renewals are answered. */
-    bool informed = false;
+    bool hasFullState = false;
     /**
      * No lease that the agent may believe in ends later than this. Counted from the arrival of a renewal, which is
      * after the agent sent it, plus the drift margin.
      */
     BootTime leaseEnd;
     /** The agent counts as heard of until this moment; it is not given up before. */
-    BootTime heardUntil;
+    BootTime presumedAliveUntil;
     /** Another process under this name may still hold a lease: no lease is given before this moment. */
-    BootTime heldUntil;
+    BootTime leaseBlockedUntil;
     /** Upstreams of this agent that haven't announced themselves on the session by then count as gone. */
-    BootTime announceBy;
+    BootTime announceDeadline;
     /** Changes in flight that take slices from the agent without its Released: no lease is given meanwhile. */
-    unsigned takes = 0;
+    unsigned forcedMovesInFlight = 0;
     /** Upstreams that don't check grants may until then be running what the agent's process before this one sent. */
-    BootTime started;
+    BootTime startedAt;
     /** A process before this one under this name may still use shares of limits that this leader doesn't know. */
-    bool unknownPredecessor = false;
+    bool hasUnknownPredecessor = false;
     /** What the agent acts on. */
-    wire::Version inForce;
+    wire::Version appliedVersion;
     /** The upstreams announced on the session, by service and name. */
     std::map<std::pair<std::string, std::string>, wire::UpstreamInfo> announced;
 };
 
 /** @return the name of one process of an agent */
-inline std::string lifeOf(const std::string &agent, const std::string &incarnation)
+inline std::string incarnationIdOf(const std::string &agent, const std::string &incarnation)
 {
     return agent + " " + incarnation;
 }
 
-inline std::string lifeOf(const AgentRecord &agent)
+inline std::string incarnationIdOf(const AgentRecord &agent)
 {
-    return lifeOf(agent.name, agent.incarnation);
+    return incarnationIdOf(agent.name, agent.incarnation);
 }
 
 /** @return true while the agent may hold a lease */
@@ -64,29 +64,29 @@
 /** @return true once the agent surely holds no lease and has not been heard of for a whole lease either */
 inline bool isLost(const AgentRecord &agent, BootTime now)
 {
-    return now >= agent.leaseEnd && now >= agent.heardUntil;
+    return now >= agent.leaseEnd && now >= agent.presumedAliveUntil;
 }
 
 /**
  * All agents known to the leader, by name and by session.
  * Volatile, owned by the coordinator; a new leader starts from the registered upstreams.
  */
-class AgentBook
+class AgentRegistry
 {
 public:
     std::map<std::string, AgentRecord> agents;
 
     /** @return the record, made when there is none */
-    AgentRecord &get(const std::string &name);
+    AgentRecord &getOrCreate(const std::string &name);
     /** @return the record, or nullptr */
     AgentRecord *find(const std::string &name);
     const AgentRecord *find(const std::string &name) const;
     /** @return the agent whose newest session this is, or nullptr */
-    AgentRecord *bySession(SessionId session);
+    AgentRecord *findBySession(SessionId session);
     /** Makes a session the agent's newest one. */
-    void bind(AgentRecord &agent, SessionId session);
+    void attachSession(AgentRecord &agent, SessionId session);
     /** Ends a session; one that isn't the newest of its agent is ignored. @return the agent, or nullptr */
-    AgentRecord *unbind(SessionId session);
+    AgentRecord *detachSession(SessionId session);
     void clear();
 
 private:
--- a/include/control/Assignment.h
+++ b/include/control/Assignment.h
@@ -55,9 +55,9 @@
  * Computes the load which any assignment has to move to reach the tolerance, if slices could be cut at will.
  * @return share of the total load
  */
-double leastChurn(const std::vector<Member> &members,
-                  const std::vector<LoadedSlice> &slices,
-                  double tolerance = DefaultTolerance);
+double minChurn(const std::vector<Member> &members,
+                const std::vector<LoadedSlice> &slices,
+                double tolerance = DefaultTolerance);
 
 /** @return the largest ratio of a member's load to its rightful one; 1 is perfect, 0 when there is no load */
 double imbalance(const std::vector<Member> &members, const std::vector<LoadedSlice> &slices);
--- a/include/control/ClaimStore.h
+++ b/include/control/ClaimStore.h
@@ -25,14 +25,14 @@
 {
 public:
     /** Most claims kept; about 300 bytes each without an answer. */
-    static constexpr std::size_t MostClaims = 200000;
+    static constexpr std::size_t MaxClaims = 200000;
     /** Most bytes of one kept answer; of a larger one only the status is kept. */
-    static constexpr std::size_t MostAnswerBytes = 4096;
+    static constexpr std::size_t MaxAnswerBytes = 4096;
     /** Most bytes of all kept answers together. */
-    static constexpr std::size_t MostTotalBytes = std::size_t{64} * 1024 * 1024;
+    static constexpr std::size_t MaxTotalBytes = std::size_t{64} * 1024 * 1024;
 
-    /** @param mostClaims bound on the number of claims; another than the default serves tests only */
-    explicit ClaimStore(std::size_t mostClaims = MostClaims);
+    /** @param maxClaims bound on the number of claims; another than the default serves tests only */
+    explicit ClaimStore(std::size_t maxClaims = MaxClaims);
 
     /** Takes a claim, or tells why not. A resend of the attempt that owns the claim is granted again. */
     wire::ClaimReply claim(const wire::ClaimRequest &request);
@@ -63,7 +63,7 @@
 
     void erase(const Name &name);
 
-    std::size_t mostClaims;
+    std::size_t maxClaims;
     std::size_t answerBytes = 0;
     std::map<Name, wire::ClaimRecord> claims;
     std::set<std::pair<UnixTime, Name>> byTime;
--- a/include/control/Coordinator.h
+++ b/include/control/Coordinator.h
@@ -3,11 +3,11 @@
 #include "base/BootClock.h"
 #include "control.pb.h"
 #include "control/Action.h"
-#include "control/AgentBook.h"
+#include "control/AgentRegistry.h"
 #include "control/CoordinatorSettings.h"
-#include "control/LimitBook.h"
-#include "control/LoadBook.h"
-#include "control/MoveBook.h"
+#include "control/LimitAllocator.h"
+#include "control/LoadTracker.h"
+#include "control/MoveTracker.h"
 #include "control/UpdateBatch.h"
 
 #include <map>
@@ -26,7 +26,7 @@
 struct SliceMove;
 
 /** How a proposal of the coordinator ended. */
-enum class ProposalEnd {
+enum class ProposalOutcome {
     Applied,
     /** Not in the log, or nobody knows whether it is. */
     Lost
@@ -63,7 +63,7 @@
     /** A committed command was applied. Called before proposed() of the same command. */
     void applied(const Applied &applied);
     /** A proposal ended. */
-    void proposed(std::uint64_t proposal, ProposalEnd end);
+    void proposed(std::uint64_t proposal, ProposalOutcome outcome);
     /** The confirmation round asked for last ended. */
     void confirmed(bool leads, BootTime now);
     /** @param addresses where agents may look for a leader: IP:port of every control replica */
@@ -76,9 +76,9 @@
 
     /** @return whether this replica leads */
     bool isLeading() const;
-    const AgentBook &agents() const;
-    const MoveBook &moves() const;
-    const LimitBook &limits() const;
+    const AgentRegistry &agents() const;
+    const MoveTracker &moves() const;
+    const LimitAllocator &limits() const;
 
     /** @return agents that act on @p version or a newer one, and agents with a serving upstream that don't */
     wire::InForceReport inForce(const wire::Version &version) const;
@@ -107,7 +107,7 @@
     struct Proposal {
         std::vector<SliceName> slices;
         /** Agent that an upstream, and with it its slices, is taken over from; empty otherwise. */
-        std::string takenFrom;
+        std::string previousAgent;
         /** Service and name; empty when no upstream changes. */
         std::pair<std::string, std::string> upstream;
         /** Service whose slices are being cut; empty otherwise. */
@@ -120,43 +120,43 @@
         /** Members at the last look. */
         std::vector<std::uint32_t> memberIds;
         BootTime membersChanged;
-        BootTime nextLook;
+        BootTime nextCheckAt;
         bool splitting = false;
         /** The next change of members comes from an operator. */
-        bool evenAtOnce = false;
+        bool rebalanceAtOnce = false;
     };
 
     void send(SessionId session, wire::ControlMessage message);
     /** Sends the changes that wait to every agent that has the full state. */
     void sendBatch();
     std::uint64_t propose(wire::Command command, Proposal proposal);
-    void endMove(const SliceName &slice, ProposalEnd end);
+    void endMove(const SliceName &slice, ProposalOutcome outcome);
     void startRound();
-    void inform(const std::vector<SessionId> &sessions);
+    void sendFullState(const std::vector<SessionId> &sessions);
     void renew(AgentRecord &agent, const Heartbeat &heartbeat, BootTime now);
-    bool mayRenew(const AgentRecord &agent, BootTime now) const;
+    bool canRenew(const AgentRecord &agent, BootTime now) const;
     /** @return whether every agent that may use shares of limits has told them to this leader */
     bool allLimitsReported() const;
-    bool mattersForLease(const wire::UpstreamInfo &upstream) const;
+    bool mustPrecedeLease(const wire::UpstreamInfo &upstream) const;
     void sendRevokes(const std::vector<SliceName> &slices);
     void resendRevokes(const AgentRecord &agent);
     void receivedUpstream(AgentRecord &agent, const wire::UpstreamInfo &announced);
     void receivedReleased(const AgentRecord &agent, const wire::Released &released);
-    void proposeUpstream(const wire::UpstreamInfo &upstream, const std::string &takenFrom);
+    void proposeUpstream(const wire::UpstreamInfo &upstream, const std::string &previousAgent);
     void reconcile(AgentRecord &agent, BootTime now);
-    bool mayMoveHere(const wire::UpstreamInfo &registered, const AgentRecord &agent, BootTime now) const;
+    bool canMoveToAgent(const wire::UpstreamInfo &registered, const AgentRecord &agent, BootTime now) const;
     /** @return whether another process that the agent announced has taken the upstream's address since */
-    static bool hasReplaced(const wire::UpstreamInfo &later, const wire::UpstreamInfo &upstream);
+    static bool replacesUpstream(const wire::UpstreamInfo &later, const wire::UpstreamInfo &upstream);
     void retireUnannounced(AgentRecord &agent, BootTime now);
     void retireLost(BootTime now);
-    std::chrono::nanoseconds longestWork(const wire::UpstreamInfo &upstream) const;
+    std::chrono::nanoseconds maxWorkTime(const wire::UpstreamInfo &upstream) const;
 
     void planAll(BootTime now);
     void planService(const std::string &service, const SliceMap &map, BootTime now);
     std::vector<Member> membersOf(const std::string &service, BootTime now);
     /** @return the weight by which an upstream may own slices now; 0 when it may not */
     double weightOf(const wire::UpstreamInfo &upstream, BootTime now) const;
-    void noteMembers(Watch &watch, const std::vector<Member> &members, BootTime now) const;
+    void recordMembers(Watch &watch, const std::vector<Member> &members, BootTime now) const;
     bool proposeSplits(const std::string &service, const SliceMap &map, std::size_t memberCount, BootTime now);
     std::vector<SliceMove>
     wantedMoves(const std::string &service, const SliceMap &map, const std::vector<Member> &members, BootTime now);
@@ -170,21 +170,21 @@
                     const std::vector<Member> &members,
                     BootTime now);
     /** @return whether nobody can still be working on the slice of an owner, so that it may be granted at once */
-    bool isFree(std::uint32_t owner, BootTime now) const;
-    void endRevokesOfLost(BootTime now);
+    bool isSafeToReassign(std::uint32_t owner, BootTime now) const;
+    void forceMovesOfLost(BootTime now);
     /** Notes that a move needs no Released, and holds back the agent's lease until it's committed. */
-    void takeFromLost(Move &move);
-    bool isFitTarget(std::uint32_t upstream, BootTime now) const;
+    void forceMove(Move &move);
+    bool canReceiveSlices(std::uint32_t upstream, BootTime now) const;
     void commitReleased(BootTime now);
 
     CoordinatorSettings settings;
     const State &state;
     bool leading = false;
     bool roundInFlight = false;
-    AgentBook book;
-    MoveBook moveBook;
-    LoadBook loads;
-    LimitBook limitBook;
+    AgentRegistry agentRegistry;
+    MoveTracker moveTracker;
+    LoadTracker loads;
+    LimitAllocator limitAllocator;
     Round waiting;
     Round inRound;
     std::map<std::uint64_t, Proposal> proposals;
--- a/include/control/LimitBook.h
+++ b/include/control/LimitAllocator.h
@@ -35,7 +35,7 @@
     /** Single permits that the agent asked for. */
     unsigned wanted = 0;
     /** Whether one more is useful for its next request. */
-    bool wantsAhead = false;
+    bool wantsExtraPermit = false;
 };
 
 /** Shares of one life of an agent. */
@@ -52,7 +52,7 @@
     double share = 0;
 };
 
-struct HandedPermits {
+struct GrantedPermits {
     BootTime countsUntil;
     unsigned permits = 0;
 };
@@ -65,12 +65,12 @@
     /** Sum over agents of the weight of their demand. */
     double weight = 0;
     std::size_t agents = 0;
-    std::deque<HandedPermits> handed;
+    std::deque<GrantedPermits> grantedPermits;
     /** Sum over handed. */
     unsigned permits = 0;
 };
 
-struct LimitBookSettings {
+struct LimitAllocatorSettings {
     table::LimitBounds bounds;
     /** How long an agent may use its shares without hearing of control. */
     std::chrono::milliseconds lease{std::chrono::seconds(12)};
@@ -90,36 +90,36 @@
  * leader learns the shares from the agents, and grants more only when all have told or all leases of before have ended.
  * Volatile; owned by the coordinator.
  */
-struct LimitBook {
-    LimitBookSettings settings;
+struct LimitAllocator {
+    LimitAllocatorSettings settings;
     /** By the name of the agent's life: its name and incarnation. */
     std::map<std::string, AgentLimits> agents;
     std::map<std::string, LimitReserve, std::less<>> reserves;
     /** Whether the shares of all agents are known. */
-    bool complete = false;
-    BootTime leadsSince;
+    bool allSharesKnown = false;
+    BootTime leaderSince;
 };
 
 /** Starts without any knowledge, as a new leader does. */
-void beginLeading(LimitBook &book, BootTime now);
+void beginLeading(LimitAllocator &allocator, BootTime now);
 
 /**
  * Looks at whether the shares of all agents are known, at the latest once all leases of before have ended.
  * @param allReported whether every agent that may hold shares has told them
  */
-void noteComplete(LimitBook &book, bool allReported, BootTime now);
+void updateAllSharesKnown(LimitAllocator &allocator, bool allReported, BootTime now);
 
 /** Takes in what an agent told of its shares and demand. */
-void noteDemand(LimitBook &book, const std::string &life, const wire::Renew &renew, BootTime now);
+void recordDemand(LimitAllocator &allocator, const std::string &incarnationId, const wire::Renew &renew, BootTime now);
 
 /** Keeps the shares of an agent's process that has surely ended for the process after it. */
-void succeedLife(LimitBook &book, const std::string &ended, const std::string &successor, BootTime now);
+void transferShares(LimitAllocator &allocator, const std::string &ended, const std::string &successor, BootTime now);
 
 /** Takes back the shares whose lease has ended. */
-void expireLimits(LimitBook &book, BootTime now);
+void expireLimits(LimitAllocator &allocator, BootTime now);
 
 /** @return whether this life of an agent has told its shares since this leader leads */
-bool isKnown(const LimitBook &book, const std::string &life);
+bool isKnown(const LimitAllocator &allocator, const std::string &incarnationId);
 
 /**
  * Renews an agent's shares, changes them where its demand calls for it, and hands out the permits that it wants.
@@ -127,8 +127,8 @@
  * @param arrival of the renewal that is answered
  * @param renewed answer to it; left without shares for an agent that has not told its own
  */
-void grantShares(LimitBook &book,
-                 const std::string &life,
+void grantShares(LimitAllocator &allocator,
+                 const std::string &incarnationId,
                  const table::RouteTable &routes,
                  BootTime arrival,
                  BootTime now,
--- a/include/control/LoadBook.h
+++ b/include/control/LoadTracker.h
@@ -18,14 +18,14 @@
  * The loads that owners report, smoothed. Volatile: a new leader starts from the widths of slices and learns again.
  * Owned by the coordinator.
  */
-class LoadBook
+class LoadTracker
 {
 public:
     /** Share of a new report in the smoothed rate: which keys are busy changes within seconds, and reports come each.
      */
     static constexpr double Weight = 0.3;
     /** Hot keys remembered for a service; the coldest one makes room. */
-    static constexpr std::size_t MostHotKeys = 1024;
+    static constexpr std::size_t MaxHotKeys = 1024;
 
     /** Takes in what one heartbeat told. */
     void report(const wire::Renew &renew, BootTime now);
@@ -34,7 +34,7 @@
      * Gives every slice its share of the service's load: four fifths by measured rate and the rest by width, so
      * that slices nobody asks for are shared out too; by width alone where too little was measured.
      */
-    void weigh(const std::string &service, const SliceMap &map, std::vector<LoadedSlice> &slices) const;
+    void distributeLoad(const std::string &service, const SliceMap &map, std::vector<LoadedSlice> &slices) const;
 
     /** @return hashes of the keys which carry at least @p share of the service's rate, reported lately */
     std::vector<std::uint64_t> hotKeys(const std::string &service, double share, BootTime now) const;
@@ -45,7 +45,7 @@
      * An upstream that has answered nothing for a minute is forgotten.
      * @return by upstream, how fast it is against the mean of its service; who isn't among them counts as 1
      */
-    std::unordered_map<std::uint32_t, double> speeds(const std::string &service, BootTime now);
+    std::unordered_map<std::uint32_t, double> relativeSpeeds(const std::string &service, BootTime now);
 
     /** Forgets everything. */
     void clear();
--- a/include/control/MoveBook.h
+++ b/include/control/MoveTracker.h
@@ -31,7 +31,7 @@
     std::uint32_t to = 0;
     MovePhase phase = MovePhase::Revoking;
     /** The lost agent it is taken from without its Released; empty otherwise. */
-    std::string takenFrom;
+    std::string previousAgent;
     /** Work that nobody can be asked about has surely ended by then; the change of owner waits for it. */
     BootTime notBefore;
     /** What the owner's upstream gave out with its release, for the next one; may be empty. */
@@ -42,7 +42,7 @@
 using SliceName = std::pair<std::string, std::uint64_t>;
 
 /** All moves that the leader has begun. Volatile, owned by the coordinator. */
-class MoveBook
+class MoveTracker
 {
 public:
     std::map<SliceName, Move> moves;
--- a/include/control/QuarantineStore.h
+++ b/include/control/QuarantineStore.h
@@ -26,7 +26,7 @@
     /** Crashes of different incarnations that put a request into quarantine. */
     static constexpr std::size_t CrashesToQuarantine = 2;
     /** Most fingerprints kept; beyond it, the suspect seen longest ago makes room. */
-    static constexpr std::size_t MostSuspects = 4096;
+    static constexpr std::size_t MaxSuspects = 4096;
 
     /** Counts suspects of a crash. @return the fingerprints newly in quarantine */
     std::vector<std::uint64_t> report(const wire::ReportCrash &crash);
--- a/include/control/RouteBook.h
+++ b/include/control/RouteStore.h
@@ -17,11 +17,11 @@
  * whose acknowledgement was lost: sent again, at whatever time, it is acknowledged again and not refused as a conflict
  * with itself.
  */
-class RouteBook
+class RouteStore
 {
 public:
     /** Accepted changes that are remembered: some hundreds a day are usual. */
-    static constexpr std::size_t MostAccepted = 16384;
+    static constexpr std::size_t MaxAccepted = 16384;
 
     /**
      * Puts a new table of routes in force, whole or as a change of named items. Keys of workspaces are kept in the
--- a/include/control/SliceMap.h
+++ b/include/control/SliceMap.h
@@ -36,7 +36,7 @@
      * @param grain every slice begins at a multiple of it
      * @return that many slices of equal width, to a grain, without an owner
      */
-    static SliceMap even(std::size_t count, std::uint64_t grain = 1);
+    static SliceMap uniform(std::size_t count, std::uint64_t grain = 1);
 
     /** @return all slices, ordered by begin */
     const Slices &slices() const;
--- a/include/control/SliceSplits.h
+++ b/include/control/SliceSplits.h
@@ -23,13 +23,13 @@
 };
 
 /** Most slices of one service: what an agent can hold and a snapshot carry. */
-inline constexpr std::size_t MostSlices = 65536;
+inline constexpr std::size_t MaxSlices = 65536;
 
 /**
  * Decides how the slices of a service should be cut.
  * Halves all of the widest slices until there are enough for the wanted share of an upstream; gives each hot key a
  * slice of its own; merges such a slice back once the key is no longer hot and its neighbour has the same owner.
- * @param wanted number of slices to reach, bounded by MostSlices
+ * @param wanted number of slices to reach, bounded by MaxSlices
  * @param hot hashes of hot keys, ascending
  * @param moving first hashes of slices on the move; they are neither cut nor merged
  * @param grain slices begin at multiples of it
--- a/include/control/State.h
+++ b/include/control/State.h
@@ -33,10 +33,10 @@
 {
 public:
     /** Slices that a service starts with; more are made by splitting as upstreams join. */
-    static constexpr std::size_t FirstSlices = 64;
+    static constexpr std::size_t InitialSlices = 64;
 
-    /** @param mostClaims see ClaimStore */
-    explicit State(std::size_t mostClaims = ClaimStore::MostClaims);
+    /** @param maxClaims see ClaimStore */
+    explicit State(std::size_t maxClaims = ClaimStore::MaxClaims);
 
     /** Applies the committed command at @p version; versions only grow. */
     Applied apply(const wire::Version &version, const wire::Command &command);
--- a/include/control/TableHistory.h
+++ b/include/control/TableHistory.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "control.pb.h"
-#include "control/RouteBook.h"
+#include "control/RouteStore.h"
 #include "table/ChangeWarnings.h"
 #include "table/Table.h"
 
@@ -25,13 +25,13 @@
 {
 public:
     /** Tables kept in full, for reading back and for naming what a conflicting change differs in. */
-    static constexpr std::size_t MostTables = 32;
+    static constexpr std::size_t MaxTables = 32;
     /** Bytes of the tables kept in full; the newest one is kept whatever its size. */
-    static constexpr std::size_t MostTableBytes = std::size_t{8} * 1024 * 1024;
+    static constexpr std::size_t MaxStoredTableBytes = std::size_t{8} * 1024 * 1024;
     /** Changes whose ids are kept; at 12,000 changes a day more than eight hours. */
-    static constexpr std::size_t MostChanges = 4096;
+    static constexpr std::size_t MaxChanges = 4096;
     /** Differing rows that a conflict names. */
-    static constexpr std::size_t MostNamedRows = 20;
+    static constexpr std::size_t MaxNamedRows = 20;
 
     /**
      * Puts a new table in force.
@@ -39,7 +39,7 @@
      */
     wire::OperatorReply put(const wire::Version &version, const wire::PutTable &change);
 
-    /** Puts new routes in force. @return as RouteBook::put(), with the version */
+    /** Puts new routes in force. @return as RouteStore::put(), with the version */
     wire::OperatorReply putRoutes(const wire::Version &version, const wire::PutRoutes &change);
 
     /** Marks a failure domain or an upstream in or out of service. */
@@ -55,8 +55,8 @@
     const table::Marks &marks() const;
     /** @return a kept table, or nullptr; 0 asks for the one in force */
     const wire::TableText *text(std::uint64_t tableVersion) const;
-    /** @param most at most that many @return changes, newest first */
-    std::vector<wire::HistoryEntry> history(std::size_t most) const;
+    /** @param maxEntries at most that many @return changes, newest first */
+    std::vector<wire::HistoryEntry> history(std::size_t maxEntries) const;
 
     /** @return table and marks as agents get them, without the routes */
     wire::TableInForce inForce() const;
@@ -79,7 +79,7 @@
     std::map<std::string, std::uint64_t> byId;
     std::uint64_t dropped = 0;
     table::Table current;
-    RouteBook routeBook;
+    RouteStore routeStore;
     table::Marks marked;
 };
 
--- a/include/control/UpdateBatch.h
+++ b/include/control/UpdateBatch.h
@@ -12,12 +12,12 @@
  */
 struct UpdateBatch {
     /** Least time between two updates to all agents; the first change after a quiet time goes out at once. */
-    static constexpr BootClock::duration Gap = std::chrono::milliseconds(50);
+    static constexpr BootClock::duration MinInterval = std::chrono::milliseconds(50);
 
     wire::StateUpdate pending;
     bool empty = true;
     /** True when nothing was sent for the gap. */
-    bool quiet = true;
+    bool isIdle = true;
     BootTime sentAt{};
 };
 
--- a/include/disk/Storage.h
+++ b/include/disk/Storage.h
@@ -17,7 +17,7 @@
     std::uint64_t syncs = 0;
     std::uint64_t entries = 0;
     std::chrono::nanoseconds syncTime{0};
-    std::chrono::nanoseconds longestSync{0};
+    std::chrono::nanoseconds maxSyncTime{0};
 };
 
 /** Told on the writer's thread. */
--- a/include/loop/Log.h
+++ b/include/loop/Log.h
@@ -19,7 +19,7 @@
 };
 
 /** Lines about requests that went well: their number follows the load. */
-inline constexpr LogLimiter::Bound OrdinaryBound{50, std::chrono::seconds(1)};
+inline constexpr LogLimiter::Bound RoutineBound{50, std::chrono::seconds(1)};
 /** Lines about what failed, or about a change of what the process believes. */
 inline constexpr LogLimiter::Bound FailureBound{200, std::chrono::seconds(1)};
 
--- a/include/loop/LogEvent.h
+++ b/include/loop/LogEvent.h
@@ -22,7 +22,7 @@
 public:
     /** An event that isn't written. */
     LogEvent() = default;
-    LogEvent(LogLevel level, const char *part, std::string_view name, std::uint64_t leftOut);
+    LogEvent(LogLevel level, const char *part, std::string_view name, std::uint64_t suppressed);
     ~LogEvent();
     LogEvent(const LogEvent &) = delete;
     LogEvent &operator=(const LogEvent &) = delete;
--- a/include/loop/LogLimiter.h
+++ b/include/loop/LogLimiter.h
@@ -19,12 +19,12 @@
 class LogLimiter
 {
 public:
-    static constexpr unsigned MostPerWindow = 10;
+    static constexpr unsigned MaxPerWindow = 10;
     static constexpr std::chrono::seconds Window{10};
 
     /** How many messages of one line of the program are written in which time. */
     struct Bound {
-        unsigned most = MostPerWindow;
+        unsigned maxMessages = MaxPerWindow;
         std::chrono::seconds window = Window;
     };
 
@@ -47,7 +47,7 @@
     struct Allowance {
         BootTime start{};
         unsigned written = 0;
-        std::uint64_t leftOut = 0;
+        std::uint64_t suppressed = 0;
     };
 
     std::map<LogSite, Allowance> sites;
--- a/include/net/HttpCall.h
+++ b/include/net/HttpCall.h
@@ -21,16 +21,16 @@
     /** From send() to the open connection; at least a millisecond. */
     std::chrono::nanoseconds connectTimeout = std::chrono::milliseconds(300);
     /** Bytes of the answer's body; more ends the call as TooLarge. */
-    std::size_t maxAnswer = 1024UL * 1024;
+    std::size_t maxAnswerBytes = 1024UL * 1024;
     /** A field that the answer echoes: with another value, it is the answer to another request. No check without a
      * name. */
-    Header echoed;
+    Header expectedEcho;
     /** Whether an answer without a stated length is whole when its connection ends in order. */
-    bool untilClose = false;
+    bool readUntilClose = false;
     /** Send the body only once the peer asks for it with "100 Continue"; an answer before that ends the call. */
-    bool awaitContinue = false;
+    bool expectContinue = false;
     /** Never reuse an open connection. */
-    bool freshConnection = false;
+    bool needsNewConnection = false;
 };
 
 } // namespace bergamotweir::net
--- a/include/process/AgentProtocol.h
+++ b/include/process/AgentProtocol.h
@@ -8,7 +8,7 @@
 #include "process/Heartbeat.h"
 #include "process/OrderAnswer.h"
 #include "process/ParsedRequest.h"
-#include "process/RequestOrder.h"
+#include "process/RequestMetadata.h"
 
 #include <pcg_random.hpp>
 
@@ -23,7 +23,7 @@
 
 /** How an agent answers a request that it refuses itself. */
 struct Refusal {
-    agent::RefusalFacts facts;
+    agent::RefusalDetails facts;
     /** Spreads the time after which callers come back, so that those refused together don't come back together. */
     pcg32 *random = nullptr;
 };
@@ -56,10 +56,10 @@
     net::HttpAnswer (*refuse)(const Refusal &refusal) = nullptr;
 
     /** Adds to a call to the upstream what the upstream has to know of the request. */
-    void (*addOrder)(net::HttpCall &call, const RequestOrder &order) = nullptr;
+    void (*addRequestMetadata)(net::HttpCall &call, const RequestMetadata &metadata) = nullptr;
 
     /** @return how a request ended at an upstream */
-    AttemptOutcome (*readOutcome)(const net::CallResult &result) = nullptr;
+    AttemptResult (*readAttemptResult)(const net::CallResult &result) = nullptr;
 
     /** @return how slow the upstream's VM is at this moment against its usual speed, where its answer says so */
     std::optional<double> (*readSlowness)(const net::HttpAnswer &answer) = nullptr;
@@ -86,7 +86,7 @@
      * given up by closing its connection. Otherwise the agent sends the upstream orders of its own, and asks it for its
      * health all the time.
      */
-    bool byHeartbeat = false;
+    bool usesHeartbeats = false;
 };
 
 } // namespace bergamotweir::process
--- a/include/process/AgentSettings.h
+++ b/include/process/AgentSettings.h
@@ -44,18 +44,18 @@
     /** Time between two renewals of the lease: a fifth of it, so that some may be lost. */
     std::chrono::milliseconds renewInterval{100};
     /** Control that says nothing for so long is left: two renewals. */
-    std::chrono::milliseconds controlSilence{200};
+    std::chrono::milliseconds controlSilenceTimeout{200};
     /** A stop takes no longer, whatever is still in progress. */
-    std::chrono::milliseconds longestStop{std::chrono::seconds(20)};
+    std::chrono::milliseconds maxStopTime{std::chrono::seconds(20)};
     /** A stop doesn't wait longer for control to take the keys away: the lease ends by itself. */
-    std::chrono::milliseconds longestHandOver{std::chrono::seconds(8)};
+    std::chrono::milliseconds maxHandoverTime{std::chrono::seconds(8)};
     /** After so long nothing that an agent before this one granted can still hold. */
-    std::chrono::milliseconds predecessorGrants{0};
+    std::chrono::milliseconds predecessorGrantTime{0};
     /** See agent::ServiceRouting. */
-    double localUntilLoad = 0;
+    double maxLocalLoad = 0;
     /** Second sends that a service's budget earns with each first one, and the most that it saves up. */
     double retryRatio = 0.05;
-    double mostRetries = 10;
+    double maxRetryTokens = 10;
     /** How far workspaces may exceed their limits; the same for all agents and replicas. */
     table::LimitBounds limitBounds = {};
 };
--- a/include/process/ControlSettings.h
+++ b/include/process/ControlSettings.h
@@ -23,9 +23,9 @@
     /** Voters that it takes to bear the losses that must be borne: twice their number and one. */
     std::size_t wantedVoters = 5;
     /** With fewer voters a leader acknowledges nothing until it has waited so long for others to join. */
-    std::chrono::milliseconds gatherFor{std::chrono::seconds(10)};
+    std::chrono::milliseconds joinGrace{std::chrono::seconds(10)};
     /** A member silent for so long makes room for one that has joined: longer than a frozen VM or a restart takes. */
-    std::chrono::milliseconds goneAfter{std::chrono::seconds(8)};
+    std::chrono::milliseconds removeAfter{std::chrono::seconds(8)};
 };
 
 /** Settings of a control replica, checked. Ports: 0 asks the kernel for a free one. */
--- a/include/process/Heartbeat.h
+++ b/include/process/Heartbeat.h
@@ -25,7 +25,7 @@
 };
 
 /** Keys that an upstream has given up since its last acknowledged heartbeat. */
-struct FreedKeys {
+struct ReleasedKeys {
     KeyRange keys;
     /** For the next owner, which starts warm with it. */
     std::string handover;
@@ -35,15 +35,15 @@
 struct Heartbeat {
     Announcement announcement;
     /** It takes no new work soon: it is being emptied, or has said goodbye. */
-    bool leaving = false;
+    bool isDraining = false;
     /** It said goodbye: nothing but announcement.instance is known. */
-    bool farewell = false;
+    bool isDeregistration = false;
     /** Grows with each heartbeat of one process; an older one arrived late. */
     std::uint64_t sequence = 0;
     /** How much longer it is cold. */
     std::chrono::milliseconds coldFor{0};
     std::vector<HeldKeys> held;
-    std::vector<FreedKeys> freed;
+    std::vector<ReleasedKeys> releasedKeys;
 };
 
 /** Keys that an upstream is to hold. */
--- a/include/process/ParsedRequest.h
+++ b/include/process/ParsedRequest.h
@@ -25,12 +25,12 @@
     /** Whose key the caller sent; empty for requests without a key. */
     std::string workspace;
     /** Its workspace's share of the limit counts it. */
-    bool countedByShare = false;
+    bool countsAgainstShare = false;
     /** The caller's credentials were for this system and are not passed on. */
-    bool credentialsTaken = false;
+    bool credentialsConsumed = false;
     /** Only from another agent: its name for the request, the upstream that it wants, and whether it is a suspect. */
     std::string requestId;
-    std::uint32_t wantedUpstream = 0;
+    std::uint32_t requestedUpstream = 0;
     bool suspect = false;
 };
 
--- a/include/process/ReplicaNode.h
+++ b/include/process/ReplicaNode.h
@@ -21,7 +21,7 @@
 namespace bergamotweir::process {
 
 /** How a proposal ended. */
-enum class ProposeEnd {
+enum class ProposeOutcome {
     /** Committed and applied; the result of the apply hook is there. */
     Applied,
     /** Surely not in the log: this replica doesn't lead, or leads but is handing over or full. */
@@ -34,7 +34,7 @@
 
 /** What a proposer gets back. */
 struct ProposeResult {
-    ProposeEnd kind = ProposeEnd::NotLeader;
+    ProposeOutcome kind = ProposeOutcome::NotLeader;
     /** Place in the log; set when applied or unknown. */
     wire::Version version;
     /** What the apply hook returned; set when applied. */
@@ -54,7 +54,7 @@
     /** leader is true only after everything committed before has been applied. */
     std::function<void(bool leader, std::uint64_t term)> leadershipChanged;
     /** A replica that is no member asks to be taken in; this replica leads. May be empty. */
-    std::function<void(const wire::Replica &)> joinAsked;
+    std::function<void(const wire::Replica &)> joinRequested;
     /** The replica acts no more (disk failed); the process should say so and exit. May be empty. */
     std::function<void(const Findings &)> stopped;
 };
@@ -112,13 +112,13 @@
      * Asks to be taken into a group; may be lost, so it is asked again until membership() names this replica.
      * @param addresses replica endpoints of probable members
      */
-    void askToJoin(const std::vector<std::string> &addresses);
+    void requestJoin(const std::vector<std::string> &addresses);
 
-    /** @return ids of members that have not answered this leader for longer than @p patience */
-    std::set<std::string> silentMembers(std::chrono::nanoseconds patience) const;
+    /** @return ids of members that have not answered this leader for longer than @p timeout */
+    std::set<std::string> unresponsiveMembers(std::chrono::nanoseconds timeout) const;
 
     /** Hands leadership to a caught-up voter; done is called when it's gone or a bounded time has passed. */
-    void handOver(std::function<void()> done);
+    void transferLeadership(std::function<void()> done);
 
 private:
     struct Parts;
--- a/include/process/RequestOrder.h
+++ b/include/process/RequestMetadata.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "agent/AttemptEnd.h"
+#include "agent/AttemptOutcome.h"
 
 #include <chrono>
 #include <cstdint>
@@ -9,7 +9,7 @@
 namespace bergamotweir::process {
 
 /** What an upstream has to know of a request beside the request itself. */
-struct RequestOrder {
+struct RequestMetadata {
     std::uint64_t epoch = 0;
     std::string requestId;
     /** What is left of the request's time. */
@@ -23,8 +23,8 @@
 };
 
 /** How a call to the upstream ended, in the terms of the core. */
-struct AttemptOutcome {
-    agent::AttemptEnd end = agent::AttemptEnd::Broken;
+struct AttemptResult {
+    agent::AttemptOutcome outcome = agent::AttemptOutcome::ConnectionLost;
     bool mayHaveRun = true;
 };
 
--- a/include/raft/Action.h
+++ b/include/raft/Action.h
@@ -51,20 +51,20 @@
 };
 
 /** How a membership change ended. */
-enum class ChangeEnd { Committed, Refused, Unknown };
+enum class ChangeOutcome { Committed, Refused, Unknown };
 
 /** Answer to RaftCore::changeMember(). */
 struct MemberChanged {
     RequestId request = 0;
-    ChangeEnd end = ChangeEnd::Refused;
+    ChangeOutcome outcome = ChangeOutcome::Refused;
     /** Place of the change in the log unless refused. */
     std::uint64_t term = 0;
     std::uint64_t index = 0;
     Findings findings;
 };
 
-/** Answer to RaftCore::handOver(): leadership is gone, or no voter took it in time. */
-struct HandOverEnded {
+/** Answer to RaftCore::transferLeadership(): leadership is gone, or no voter took it in time. */
+struct LeadershipTransferEnded {
 };
 
 /** One thing that the shell has to do, in the order given. */
@@ -77,6 +77,6 @@
                             LostLeadership,
                             Confirmed,
                             MemberChanged,
-                            HandOverEnded>;
+                            LeadershipTransferEnded>;
 
 } // namespace bergamotweir::raft
--- a/include/raft/GroupPlan.h
+++ b/include/raft/MembershipPlan.h
@@ -11,12 +11,12 @@
 namespace bergamotweir::raft {
 
 /** What the leader knows when it looks after the membership of its group. */
-struct GroupFacts {
+struct MembershipFacts {
     wire::Membership members;
     /** Replicas that ask to be taken in and aren't members. */
     std::vector<wire::Replica> joiners;
     /** Ids of members that have been silent for so long that they count as gone. */
-    std::set<std::string> gone;
+    std::set<std::string> unresponsive;
     /** Voters that the group should have: enough that what it acknowledged outlives the losses to be borne. */
     std::size_t wantedVoters = 0;
 };
@@ -30,7 +30,7 @@
  * fewer voters than before hold what was acknowledged.
  * @return the change, or nothing when there is none to make
  */
-std::optional<wire::ChangeMember> nextChange(const GroupFacts &facts);
+std::optional<wire::ChangeMember> nextChange(const MembershipFacts &facts);
 
 /** @return voters of a membership */
 std::size_t countVoters(const wire::Membership &membership);
--- a/include/raft/RaftCore.h
+++ b/include/raft/RaftCore.h
@@ -70,8 +70,8 @@
     /** Begins a membership change; answered by MemberChanged. */
     void changeMember(RequestId request, const wire::ChangeMember &change);
 
-    /** Gives leadership to a caught-up voter; answered by HandOverEnded. */
-    void handOver();
+    /** Gives leadership to a caught-up voter; answered by LeadershipTransferEnded. */
+    void transferLeadership();
 
     /** Everything up to this ticket is on disk. */
     void diskSynced(Ticket ticket);
@@ -87,7 +87,7 @@
 
     Role role() const;
     /** @return leads and has applied everything committed before its term */
-    bool leads() const;
+    bool isLeader() const;
     bool stopped() const;
     std::uint64_t term() const;
     const std::string &diskId() const;
@@ -95,8 +95,8 @@
     /** @return empty when unknown */
     const std::string &leaderId() const;
     const wire::Membership &membership() const;
-    /** @return ids of the other members that have not answered this leader for longer than @p patience */
-    std::set<std::string> silentMembers(std::chrono::nanoseconds patience) const;
+    /** @return ids of the other members that have not answered this leader for longer than @p timeout */
+    std::set<std::string> unresponsiveMembers(std::chrono::nanoseconds timeout) const;
     const Log &log() const;
     std::uint64_t commitIndex() const;
     const SnapshotPtr &lastSnapshot() const;
@@ -122,7 +122,7 @@
         BootTime askedAt;
         BootTime deadline;
     };
-    struct PendingHandOver {
+    struct PendingLeadershipTransfer {
         std::string target;
         BootTime deadline;
         BootTime sentAt;
@@ -163,7 +163,7 @@
     std::uint64_t appendOwn(wire::EntryKind kind, std::string payload);
 
     // Membership.cpp: who counts, and changes of it.
-    bool bound() const;
+    bool hasLoggedMembership() const;
     bool isVoter() const;
     const wire::Replica *findMember(const std::string &id) const;
     bool hasQuorum(const std::function<bool(const wire::Replica &)> &counts) const;
@@ -189,10 +189,10 @@
     void onVoteRequest(const wire::RaftMessage &message);
     void onPreVoteRequest(const wire::RaftMessage &message);
     void onVoteReply(const wire::RaftMessage &message);
-    void onHandOver();
+    void onLeadershipTransfer();
     void checkQuorum();
-    void continueHandOver();
-    const Progress *handOverTarget() const;
+    void continueLeadershipTransfer();
+    const Progress *leadershipTransferTarget() const;
 
     // Replication.cpp
     void replicate();
@@ -202,7 +202,7 @@
     void onAppendRequest(const wire::RaftMessage &message);
     void rejectAppend(const wire::RaftMessage &message);
     void onAppendReply(const wire::RaftMessage &message);
-    void noteAnswer(Progress &progress, std::uint64_t round);
+    void recordAnswer(Progress &progress, std::uint64_t round);
     void followLeader(const wire::RaftMessage &message);
     void advanceCommit();
     void applyThrough(std::uint64_t index);
@@ -246,7 +246,7 @@
     std::uint64_t round = 0;
     std::deque<PendingConfirm> confirms;
     std::optional<PendingChange> change;
-    std::optional<PendingHandOver> handingOver;
+    std::optional<PendingLeadershipTransfer> leadershipTransfer;
     std::optional<IncomingSnapshot> incoming;
     std::uint64_t snapshotWanted = 0;
     /** Entries more than the setting until the next snapshot; differs between replicas. */
--- a/include/report/BurnReport.h
+++ b/include/report/BurnReport.h
@@ -18,7 +18,7 @@
     std::chrono::minutes(5), std::chrono::minutes(60), std::chrono::minutes(30), std::chrono::minutes(360)};
 
 /** Places in Windows. */
-enum WindowPlace : std::size_t {
+enum WindowIndex : std::size_t {
     FastShort,
     FastLong,
     SlowShort,
--- a/include/report/BurnState.h
+++ b/include/report/BurnState.h
@@ -33,7 +33,7 @@
 };
 
 /** The end of one request at the agent that took it from its caller; agents that were forwarded to record nothing. */
-struct RequestEnd {
+struct CompletedRequest {
     std::string_view service;
     /** Empty when it reached none. */
     std::string_view upstream;
@@ -59,12 +59,12 @@
     BucketRing counts;
     Counts sinceStart;
     LatencyStatistics latency;
-    /** By failure domain and upstream; at most MostBlamed, the rest is laid to OtherUpstreams. */
+    /** By failure domain and upstream; at most MaxBlamed, the rest is laid to OtherUpstreams. */
     std::map<std::pair<std::string, std::string>, Blame> blames;
 };
 
 /** Upstreams for which each service keeps what they burned. */
-inline constexpr std::size_t MostBlamed = 512;
+inline constexpr std::size_t MaxBlamed = 512;
 inline constexpr const char *OtherUpstreams = "(others)";
 /** Where a request that reached no upstream is laid. */
 inline constexpr const char *NoUpstream = "(none)";
@@ -82,7 +82,7 @@
 void setObjectives(BurnState &state, const table::Table &table);
 
 /** Counts the end of a request; one of a service without objectives isn't counted. */
-void record(BurnState &state, const RequestEnd &end, BootTime now);
+void record(BurnState &state, const CompletedRequest &end, BootTime now);
 
 /** @return the report of this agent alone */
 BurnReport makeReport(const BurnState &state, BootTime now);
--- a/include/report/LatencyStatistics.h
+++ b/include/report/LatencyStatistics.h
@@ -15,7 +15,7 @@
     std::chrono::nanoseconds p50{0};
     std::chrono::nanoseconds p99{0};
     std::chrono::nanoseconds p999{0};
-    std::chrono::nanoseconds most{0};
+    std::chrono::nanoseconds maximum{0};
 };
 
 /**
--- a/include/rpc/Channel.h
+++ b/include/rpc/Channel.h
@@ -15,11 +15,11 @@
 
 /** How patient a channel is. */
 struct ChannelSettings {
-    int mostMessageBytes = MaxMessageBytes;
+    int maxMessageBytes = MaxMessageBytes;
     std::chrono::milliseconds connectTimeout{200};
     /** A process that restarts must be found again well inside a lease. */
-    std::chrono::milliseconds firstReconnect{20};
-    std::chrono::milliseconds longestReconnect{200};
+    std::chrono::milliseconds minReconnectBackoff{20};
+    std::chrono::milliseconds maxReconnectBackoff{200};
     /** Pings an idle connection so often; 0 for never. */
     std::chrono::milliseconds ping{0};
     std::chrono::milliseconds pingTimeout{1000};
--- a/include/rpc/ControlSession.h
+++ b/include/rpc/ControlSession.h
@@ -33,24 +33,24 @@
 };
 
 /** How patient a ControlSession is. */
-struct ControlSessionPatience {
+struct ControlSessionTimeouts {
     /** A replica that says nothing for so long is left: it may be frozen or behind a silent partition. */
-    std::chrono::milliseconds silence{200};
+    std::chrono::milliseconds silenceTimeout{200};
     /**
      * A replica that hasn't answered at all within so long is left: the next one may be the leader. Grows with each
      * one in a row: where all are that slow, leaving sooner would only add to their work. Longer where setting up
      * the connection took long, as an answer then takes as long.
      */
-    BackoffSettings opening{std::chrono::milliseconds(500), std::chrono::milliseconds(4000)};
+    BackoffSettings openTimeout{std::chrono::milliseconds(500), std::chrono::milliseconds(4000)};
     /**
      * Pause before the next replica is tried. At its longest, 80 agents ask each of 5 replicas about 100 times a second
      * while there is no leader.
      */
-    BackoffSettings pause{std::chrono::milliseconds(25), std::chrono::milliseconds(200)};
+    BackoffSettings retryBackoff{std::chrono::milliseconds(25), std::chrono::milliseconds(200)};
     /** Longest silence of a leader that has accepted the session and owes the full state, after failures in a row. */
-    std::chrono::milliseconds longestSilence{8000};
+    std::chrono::milliseconds maxSilence{8000};
     /** A replica that fell silent is not returned to for so long, even when another one names it the leader. */
-    std::chrono::milliseconds avoidance{500};
+    std::chrono::milliseconds avoidFor{500};
     /** Spreads the pauses of many agents. */
     std::uint64_t seed = 0;
 };
@@ -67,12 +67,12 @@
      * @param loop outlives the session
      * @param addresses IP:port of the control replicas, at least one
      * @param events what to call
-     * @param patience how long to wait for what
+     * @param timeouts how long to wait for what
      */
     ControlSession(loop::EventLoop &loop,
                    std::vector<std::string> addresses,
                    ControlSessionEvents events,
-                   ControlSessionPatience patience = {});
+                   ControlSessionTimeouts timeouts = {});
 
     /** Ends the stream without calling closed(). */
     ~ControlSession();
@@ -86,7 +86,7 @@
     void send(const wire::AgentMessage &message);
 
     /** Looks for the leader at these addresses as well, as those known from the start may be gone one day. */
-    void learn(const std::vector<std::string> &replicas);
+    void addAddresses(const std::vector<std::string> &replicas);
 
     /** @return whether a replica that takes sessions has answered on the present stream */
     bool isOpen() const;
@@ -97,22 +97,22 @@
     void follow(const std::string &leader);
     std::shared_ptr<wire::Control::Stub> chooseReady(BootTime now);
     void connect(const std::string &address, std::shared_ptr<wire::Control::Stub> stub);
-    std::chrono::nanoseconds openingPatience() const;
+    std::chrono::nanoseconds currentOpenTimeout() const;
     void received(SessionId session, wire::ControlMessage message);
     void streamEnded(SessionId session);
     void ended(SessionId session);
-    void logLeft(const char *why) const;
+    void logDisconnect(const char *why) const;
     void freeEndedStreams();
-    void leave();
+    void disconnect();
     void checkSilence();
-    std::chrono::milliseconds longestSilence() const;
+    std::chrono::milliseconds maxSilence() const;
     void checkOpening(SessionId session);
     bool isAvoided(const std::string &address) const;
 
     loop::EventLoop &loop;
     std::vector<std::string> addresses;
     ControlSessionEvents events;
-    ControlSessionPatience patience;
+    ControlSessionTimeouts timeouts;
     /** Those of all replicas while a session is sought, then the session's own; a stream holds on to its own. */
     std::unique_ptr<ReplicaConnections> connections;
     std::unique_ptr<Stream> stream;
@@ -140,7 +140,7 @@
     BootTime avoidedUntil{};
     BootTime lastHeard{};
     /** When the present replica was asked for a session. */
-    BootTime soughtAt{};
+    BootTime searchStartedAt{};
     loop::TimerId silenceTimer = 0;
     /** Pause before the next replica is asked, or the next look for a connection that is ready. */
     loop::TimerId seekTimer = 0;
--- a/include/table/ChangeWarnings.h
+++ b/include/table/ChangeWarnings.h
@@ -26,7 +26,7 @@
 };
 
 /** @return true when the table, its weight and the marks all leave the upstream in service */
-bool inService(const Table &table, const Marks &marks, const KnownUpstream &upstream);
+bool isInService(const Table &table, const Marks &marks, const KnownUpstream &upstream);
 
 /**
  * Looks for services that a change would leave without any upstream or failure domain in service.
--- a/include/table/LimitBounds.h
+++ b/include/table/LimitBounds.h
@@ -18,6 +18,6 @@
 bool isLimited(const Workspace &workspace);
 
 /** @return requests that all agents together may let through in every window; 1 at least */
-double mostInWindow(const Workspace &workspace, const LimitBounds &bounds);
+double maxInWindow(const Workspace &workspace, const LimitBounds &bounds);
 
 } // namespace bergamotweir::table
--- a/include/table/RouteKind.h
+++ b/include/table/RouteKind.h
@@ -13,7 +13,7 @@
 };
 
 /** @return whether a request that may have run may be sent again */
-bool mayRepeat(RouteKind kind);
+bool canRetry(RouteKind kind);
 
 /** @return the kind's name, for logs and metrics */
 const char *toText(RouteKind kind);
--- a/include/table/RouteTable.h
+++ b/include/table/RouteTable.h
@@ -40,7 +40,7 @@
     /** At least one has a weight above 0. */
     std::vector<RoutePart> parts;
     /** Serves callers without a key where the others need one. */
-    bool keylessCallers = false;
+    bool allowsKeylessCallers = false;
 };
 
 /** What the table of routes says of a service. */
@@ -67,7 +67,7 @@
     /** No routes, revision 0. */
     RouteTable();
 
-    /** @param routes checked by findingsIn() */
+    /** @param routes checked by validateRoutes() */
     explicit RouteTable(const wire::RouteTable &routes);
 
     /** @return the operator's number of this version; 0 before the first one */
@@ -87,7 +87,7 @@
     const std::map<std::string, RoutedService, std::less<>> &services() const;
 
     /** @return whether a caller must name its workspace by a key, except on routes that allow otherwise */
-    bool callersNeedKeys() const;
+    bool requiresCallerKeys() const;
 
     /**
      * @param key as the caller sends it
@@ -111,7 +111,7 @@
  * @return every finding with its place: unknown services, parts without weight, no timeout, no attempts, bad prefixes,
  *         names used twice, limits below 0, keys of two workspaces; none shows a key
  */
-Findings findingsIn(const wire::RouteTable &routes);
+Findings validateRoutes(const wire::RouteTable &routes);
 
 /**
  * Replaces the keys of workspaces by their digests.
--- a/src/agent/AdaptiveLimit.cpp
+++ b/src/agent/AdaptiveLimit.cpp
@@ -64,9 +64,9 @@
     limit.phase = LimitPhase::Cold;
     limit.limit *= ColdTurnStep;
     limit.reference = nanoseconds(0);
-    limit.settling = true;
-    limit.crowdedWindows = 0;
-    limit.wasCrowded = false;
+    limit.isSettling = true;
+    limit.congestedWindows = 0;
+    limit.wasCongested = false;
 }
 
 /**
@@ -75,40 +75,40 @@
  */
 bool wasUsed(const AdaptiveLimit &limit)
 {
-    return limit.window.peak >= allowed(limit);
+    return limit.window.peak >= allowedConcurrency(limit);
 }
 
 void grow(AdaptiveLimit &limit)
 {
-    limit.crowdedWindows = 0;
+    limit.congestedWindows = 0;
     if (wasUsed(limit)) {
-        const bool fast = limit.phase == LimitPhase::Cold && !limit.wasCrowded;
+        const bool fast = limit.phase == LimitPhase::Cold && !limit.wasCongested;
         limit.limit = fast ? std::max(limit.limit + 1, limit.limit * ColdGrowth) : limit.limit + CarefulGrowth;
     }
     if (limit.limit >= limit.ceiling) {
         limit.phase = LimitPhase::Steady;
-        limit.wasCrowded = false;
+        limit.wasCongested = false;
     }
 }
 
 void judgeLatency(AdaptiveLimit &limit, nanoseconds mean)
 {
-    if (limit.settling) {
-        limit.settling = false;
+    if (limit.isSettling) {
+        limit.isSettling = false;
         return;
     }
     const double crowding = limit.reference.count() == 0 ? 1 : ratio(mean, limit.reference);
-    if (crowding > ColdRatio || limit.crowdedWindows >= MostCrowdedWindows) {
+    if (crowding > ColdRatio || limit.congestedWindows >= MostCrowdedWindows) {
         turnCold(limit);
         return;
     }
     if (limit.window.sheds > 0) {
         limit.limit *= ShedStep;
-        limit.wasCrowded = true;
+        limit.wasCongested = true;
     } else if (crowding > CrowdedRatio && wasUsed(limit)) {
         limit.limit *= CrowdedStep;
-        limit.crowdedWindows++;
-        limit.wasCrowded = true;
+        limit.congestedWindows++;
+        limit.wasCongested = true;
     } else if (crowding < CalmRatio) {
         grow(limit);
     }
@@ -133,7 +133,7 @@
 void closeWindowIfDue(AdaptiveLimit &limit, BootTime now)
 {
     const auto age = now - limit.window.start;
-    const unsigned wanted = std::max(LeastAnswers, AnswersPerSlot * allowed(limit));
+    const unsigned wanted = std::max(LeastAnswers, AnswersPerSlot * allowedConcurrency(limit));
     const bool full = limit.window.answers + limit.window.sheds >= wanted && age >= ShortestWindow;
     if (full || age >= LongestWindow) {
         closeWindow(limit, now);
@@ -142,15 +142,15 @@
 
 } // namespace
 
-LearnedLimit learned(const AdaptiveLimit &limit)
+LearnedLimit learnedLimit(const AdaptiveLimit &limit)
 {
     if (limit.reference.count() == 0) {
         return {};
     }
-    return {.limit = allowed(limit), .reference = limit.reference};
+    return {.limit = allowedConcurrency(limit), .reference = limit.reference};
 }
 
-void resume(AdaptiveLimit &limit, const LearnedLimit &learned, BootTime now)
+void restoreLimit(AdaptiveLimit &limit, const LearnedLimit &learned, BootTime now)
 {
     if (learned.limit == 0 || learned.reference.count() <= 0) {
         return;
@@ -158,15 +158,15 @@
     startCold(limit, now);
     limit.limit = learned.limit;
     limit.reference = learned.reference;
-    limit.wasCrowded = true;
+    limit.wasCongested = true;
     clampLimit(limit);
-    if (allowed(limit) == limit.ceiling) {
+    if (allowedConcurrency(limit) == limit.ceiling) {
         limit.phase = LimitPhase::Steady;
-        limit.wasCrowded = false;
+        limit.wasCongested = false;
     }
 }
 
-unsigned allowed(const AdaptiveLimit &limit)
+unsigned allowedConcurrency(const AdaptiveLimit &limit)
 {
     return std::clamp(static_cast<unsigned>(limit.limit), 1U, limit.ceiling);
 }
@@ -176,9 +176,9 @@
     limit.limit = 1;
     limit.phase = LimitPhase::Cold;
     limit.reference = nanoseconds(0);
-    limit.settling = false;
-    limit.crowdedWindows = 0;
-    limit.wasCrowded = false;
+    limit.isSettling = false;
+    limit.congestedWindows = 0;
+    limit.wasCongested = false;
     limit.window = {};
     limit.window.start = now;
 }
@@ -190,7 +190,7 @@
     clampLimit(limit);
 }
 
-void noteAnswer(AdaptiveLimit &limit, std::chrono::nanoseconds latency, unsigned inProgress, BootTime now)
+void recordAnswer(AdaptiveLimit &limit, std::chrono::nanoseconds latency, unsigned inProgress, BootTime now)
 {
     limit.window.answers++;
     limit.window.sum += latency;
@@ -198,15 +198,15 @@
     closeWindowIfDue(limit, now);
 }
 
-void noteShed(AdaptiveLimit &limit, BootTime now)
+void recordShed(AdaptiveLimit &limit, BootTime now)
 {
     limit.window.sheds++;
     closeWindowIfDue(limit, now);
 }
 
-void noteTimeout(AdaptiveLimit &limit, std::chrono::nanoseconds waited, unsigned inProgress, BootTime now)
+void recordTimeout(AdaptiveLimit &limit, std::chrono::nanoseconds waited, unsigned inProgress, BootTime now)
 {
-    noteAnswer(limit, waited, inProgress, now);
+    recordAnswer(limit, waited, inProgress, now);
 }
 
 } // namespace bergamotweir::agent
--- a/src/agent/BodyQueue.cpp
+++ b/src/agent/BodyQueue.cpp
@@ -41,20 +41,20 @@
 void begin(BodyQueue &queue, const AnnouncedBody &body, BootTime now)
 {
     if (queue.receiving.empty()) {
-        queue.lastEnd = now;
+        queue.lastEndAt = now;
     }
     queue.receiving.emplace(body.id, ReceivedBody{body.bytes, now});
 }
 
 bool isLate(const BodyQueue &queue, const AnnouncedBody &body, std::size_t ahead, BootTime now)
 {
-    return now + transferTime(queue, ahead + body.bytes) > body.receiveBy;
+    return now + transferTime(queue, ahead + body.bytes) > body.receiveDeadline;
 }
 
 void forgetStalled(BodyQueue &queue, BootTime now)
 {
     std::erase_if(queue.receiving, [now](const auto &entry) {
-        return now - entry.second.begunAt > LongestTransfer;
+        return now - entry.second.begunAt > MaxTransferTime;
     });
 }
 
@@ -69,7 +69,7 @@
     return nanoseconds(static_cast<nanoseconds::rep>(perByte * static_cast<double>(bytes)));
 }
 
-Admission arrive(BodyQueue &queue, const AnnouncedBody &body, BootTime now)
+Admission requestAdmission(BodyQueue &queue, const AnnouncedBody &body, BootTime now)
 {
     forgetStalled(queue, now);
     // A free link takes a body whatever the rate that was learnt: only transfers can correct it.
@@ -78,9 +78,9 @@
         return Admission::Admitted;
     }
     if (isLate(queue, body, bytesOnLink(queue) + bytesWaiting(queue), now)) {
-        return Admission::NoRoom;
+        return Admission::Overloaded;
     }
-    if (queue.receiving.size() < MostBodiesReceiving) {
+    if (queue.receiving.size() < MaxBodiesReceiving) {
         begin(queue, body, now);
         return Admission::Admitted;
     }
@@ -88,7 +88,7 @@
     return Admission::Queued;
 }
 
-BodyMoves finish(BodyQueue &queue, BodyId id, bool whole, BootTime now)
+BodyDecisions finish(BodyQueue &queue, BodyId id, bool whole, BootTime now)
 {
     const auto found = queue.receiving.find(id);
     if (found == queue.receiving.end()) {
@@ -98,23 +98,23 @@
         return {};
     }
     if (whole) {
-        learnRate(queue, found->second.bytes, now - queue.lastEnd);
-        queue.lastEnd = now;
+        learnRate(queue, found->second.bytes, now - queue.lastEndAt);
+        queue.lastEndAt = now;
     }
     queue.receiving.erase(found);
-    return move(queue, now);
+    return processQueue(queue, now);
 }
 
-BodyMoves move(BodyQueue &queue, BootTime now)
+BodyDecisions processQueue(BodyQueue &queue, BootTime now)
 {
-    BodyMoves moves;
+    BodyDecisions moves;
     forgetStalled(queue, now);
-    while (!queue.waiting.empty() && queue.receiving.size() < MostBodiesReceiving) {
+    while (!queue.waiting.empty() && queue.receiving.size() < MaxBodiesReceiving) {
         const AnnouncedBody next = queue.waiting.front();
         queue.waiting.pop_front();
         // Bodies on the link share its rate, so that this one takes as long as if it waited for them.
         const bool late =
-            queue.receiving.empty() ? now >= next.receiveBy : isLate(queue, next, bytesOnLink(queue), now);
+            queue.receiving.empty() ? now >= next.receiveDeadline : isLate(queue, next, bytesOnLink(queue), now);
         if (late) {
             moves.refused.push_back(next.id);
             continue;
--- a/src/agent/CrashWatch.cpp
+++ b/src/agent/CrashTracker.cpp
@@ -1,4 +1,4 @@
-#include "agent/CrashWatch.h"
+#include "agent/CrashTracker.h"
 
 #include <xxhash.h>
 
@@ -25,7 +25,7 @@
     forget(recent, value);
     recent.order.push_back(value);
     recent.places[value] = std::prev(recent.order.end());
-    if (recent.order.size() > recent.most) {
+    if (recent.order.size() > recent.capacity) {
         forget(recent, recent.order.front());
     }
 }
@@ -45,55 +45,55 @@
     return recent.places.contains(value);
 }
 
-void suspect(CrashWatch &watch, std::uint64_t value)
+void markSuspect(CrashTracker &tracker, std::uint64_t value)
 {
-    if (!contains(watch.answered, value)) {
-        remember(watch.suspects, value);
+    if (!contains(tracker.answered, value)) {
+        remember(tracker.suspects, value);
     }
 }
 
-bool isSuspect(const CrashWatch &watch, std::uint64_t value)
+bool isSuspect(const CrashTracker &tracker, std::uint64_t value)
 {
-    return contains(watch.suspects, value);
+    return contains(tracker.suspects, value);
 }
 
-bool mayRun(const CrashWatch &watch, std::uint64_t value)
+bool canRun(const CrashTracker &tracker, std::uint64_t value)
 {
-    if (!isSuspect(watch, value)) {
+    if (!isSuspect(tracker, value)) {
         return true;
     }
-    return std::none_of(watch.inProgress.begin(), watch.inProgress.end(), [&](const auto &entry) {
-        return isSuspect(watch, entry.first);
+    return std::none_of(tracker.inProgress.begin(), tracker.inProgress.end(), [&](const auto &entry) {
+        return isSuspect(tracker, entry.first);
     });
 }
 
-void began(CrashWatch &watch, std::uint64_t value)
+void recordBegin(CrashTracker &tracker, std::uint64_t value)
 {
-    watch.inProgress[value]++;
+    tracker.inProgress[value]++;
 }
 
-void ended(CrashWatch &watch, std::uint64_t value, bool answered)
+void recordEnd(CrashTracker &tracker, std::uint64_t value, bool answered)
 {
-    if (const auto found = watch.inProgress.find(value); found != watch.inProgress.end() && --found->second == 0) {
-        watch.inProgress.erase(found);
+    if (const auto found = tracker.inProgress.find(value); found != tracker.inProgress.end() && --found->second == 0) {
+        tracker.inProgress.erase(found);
     }
     if (answered) {
-        forget(watch.suspects, value);
-        remember(watch.answered, value);
+        forget(tracker.suspects, value);
+        remember(tracker.answered, value);
     }
 }
 
-wire::ReportCrash crashed(CrashWatch &watch,
-                          const std::set<std::uint64_t> &broken,
-                          const std::string &incarnation,
-                          std::chrono::milliseconds unixTime)
+wire::ReportCrash recordCrash(CrashTracker &tracker,
+                              const std::set<std::uint64_t> &broken,
+                              const std::string &incarnation,
+                              std::chrono::milliseconds unixTime)
 {
     const bool knowsSuspect = std::any_of(broken.begin(), broken.end(), [&](std::uint64_t value) {
-        return isSuspect(watch, value);
+        return isSuspect(tracker, value);
     });
     wire::ReportCrash report;
     for (const std::uint64_t value : broken) {
-        const bool blamed = knowsSuspect ? isSuspect(watch, value) : !contains(watch.answered, value);
+        const bool blamed = knowsSuspect ? isSuspect(tracker, value) : !contains(tracker.answered, value);
         if (!blamed) {
             continue;
         }
@@ -101,7 +101,7 @@
         entry->set_fingerprint(value);
         entry->set_upstream_incarnation(incarnation);
         entry->set_unix_ms(static_cast<std::uint64_t>(unixTime.count()));
-        remember(watch.suspects, value);
+        remember(tracker.suspects, value);
     }
     return report;
 }
--- a/src/agent/Gate.cpp
+++ b/src/agent/Gate.cpp
@@ -17,7 +17,7 @@
 
 unsigned allowedNow(const Gate &gate)
 {
-    const unsigned limit = gate.settings.adaptive ? allowed(gate.limit) : gate.settings.ceiling;
+    const unsigned limit = gate.settings.adaptive ? allowedConcurrency(gate.limit) : gate.settings.ceiling;
     return std::min(limit, gate.settings.connections);
 }
 
@@ -34,22 +34,22 @@
         gate.idleConnections--;
         return;
     }
-    gate.nextConnection = now + gate.settings.connectionPace;
+    gate.nextConnection = now + gate.settings.minConnectionInterval;
 }
 
 /** @return time between two requests to a cold upstream; 0 while it is warm or nothing is known */
 nanoseconds coldInterval(const Gate &gate, BootTime now)
 {
-    if (now >= gate.coldUntil || gate.settings.coldPerSecond <= 0) {
+    if (now >= gate.coldUntil || gate.settings.maxColdRate <= 0) {
         return nanoseconds(0);
     }
-    const std::chrono::duration<double> interval(1 / gate.settings.coldPerSecond);
+    const std::chrono::duration<double> interval(1 / gate.settings.maxColdRate);
     return std::chrono::duration_cast<nanoseconds>(interval);
 }
 
 bool isPaced(const Gate &gate, BootTime now)
 {
-    return coldInterval(gate, now).count() > 0 && now < gate.nextCold;
+    return coldInterval(gate, now).count() > 0 && now < gate.nextColdDispatchAt;
 }
 
 bool mayDispatch(const Gate &gate, BootTime now)
@@ -61,14 +61,14 @@
 {
     takeConnection(gate, now);
     const nanoseconds interval = coldInterval(gate, now);
-    gate.nextCold = std::max(gate.nextCold + interval, now + interval);
+    gate.nextColdDispatchAt = std::max(gate.nextColdDispatchAt + interval, now + interval);
     gate.inProgress++;
 }
 
 Admission shedding(const Gate &gate)
 {
     const bool atTableLimit = gate.settings.ceilingIsTableLimit && gate.inProgress >= gate.settings.ceiling;
-    return atTableLimit ? Admission::OverLimit : Admission::NoRoom;
+    return atTableLimit ? Admission::OverLimit : Admission::Overloaded;
 }
 
 /** @return the time that a request arriving now would wait for its turn at a cold upstream */
@@ -78,13 +78,16 @@
     if (interval.count() == 0) {
         return nanoseconds(0);
     }
-    return std::max<nanoseconds>(gate.nextCold - now, nanoseconds(0)) + interval * static_cast<nanoseconds::rep>(ahead);
+    return std::max<nanoseconds>(gate.nextColdDispatchAt - now, nanoseconds(0))
+           + interval * static_cast<nanoseconds::rep>(ahead);
 }
 
-/** @return when move() finds that a waiting request waits for too long */
+/** @return when processQueue() finds that a waiting request waits for too long */
 BootTime lastMoment(const Ticket &waiting)
 {
-    return waiting.urgency.startBy == BootTime::max() ? BootTime::max() : waiting.urgency.startBy + PastLastMoment;
+    return waiting.queuePriority.dispatchDeadline == BootTime::max()
+               ? BootTime::max()
+               : waiting.queuePriority.dispatchDeadline + PastLastMoment;
 }
 
 /** @return whether a request would still have time for its work after so long a wait */
@@ -98,7 +101,7 @@
 {
     const auto place =
         std::upper_bound(gate.queue.begin(), gate.queue.end(), ticket, [](const Ticket &one, const Ticket &other) {
-            return goesBefore(one.urgency, other.urgency);
+            return hasPriorityOver(one.queuePriority, other.queuePriority);
         });
     return static_cast<std::size_t>(place - gate.queue.begin());
 }
@@ -117,7 +120,7 @@
         return "admitted";
     case Admission::Queued:
         return "queued";
-    case Admission::NoRoom:
+    case Admission::Overloaded:
         return "no-room";
     case Admission::OverLimit:
         return "over-limit";
@@ -152,23 +155,23 @@
     gate.coldUntil = until;
 }
 
-Admission outlook(const Gate &gate, const Ticket &ticket, BootTime now)
+Admission previewAdmission(const Gate &gate, const Ticket &ticket, BootTime now)
 {
     if (gate.queue.empty() && mayDispatch(gate, now)) {
         return Admission::Admitted;
     }
     const std::size_t ahead = placeOf(gate, ticket);
     const nanoseconds wait = std::max(expectedWait(gate, ahead), expectedColdWait(gate, ahead, now));
-    if ((isFull(gate) && ahead == gate.queue.size()) || wait > gate.settings.longestWait
-        || now + wait > ticket.urgency.startBy || !isInTime(gate, ticket.deadline, now + wait)) {
+    if ((isFull(gate) && ahead == gate.queue.size()) || wait > gate.settings.maxWait
+        || now + wait > ticket.queuePriority.dispatchDeadline || !isInTime(gate, ticket.deadline, now + wait)) {
         return shedding(gate);
     }
     return Admission::Queued;
 }
 
-Admission arrive(Gate &gate, const Ticket &ticket, BootTime now)
+Admission requestAdmission(Gate &gate, const Ticket &ticket, BootTime now)
 {
-    const Admission admission = outlook(gate, ticket, now);
+    const Admission admission = previewAdmission(gate, ticket, now);
     if (admission == Admission::Admitted) {
         dispatch(gate, now);
     }
@@ -183,7 +186,7 @@
     return admission;
 }
 
-bool leave(Gate &gate, TicketId ticket)
+bool cancelQueued(Gate &gate, TicketId ticket)
 {
     const auto found = std::find_if(gate.queue.begin(), gate.queue.end(), [&](const Ticket &waiting) {
         return waiting.id == ticket;
@@ -195,35 +198,35 @@
     return true;
 }
 
-void finish(Gate &gate, WorkEnd end, std::chrono::nanoseconds latency, BootTime now)
+void finish(Gate &gate, WorkOutcome outcome, std::chrono::nanoseconds latency, BootTime now)
 {
     assert(gate.inProgress > 0);
     const unsigned inProgress = gate.inProgress;
     gate.inProgress--;
-    switch (end) {
-    case WorkEnd::Answered:
+    switch (outcome) {
+    case WorkOutcome::Answered:
         gate.idleConnections = std::min(gate.idleConnections + 1, gate.settings.connections);
         gate.serviceTime += (latency - gate.serviceTime) / (gate.serviceTime.count() == 0 ? 1 : ServiceTimeShare);
-        noteAnswer(gate.limit, latency, inProgress, now);
+        recordAnswer(gate.limit, latency, inProgress, now);
         break;
-    case WorkEnd::Shed:
+    case WorkOutcome::Shed:
         gate.idleConnections = std::min(gate.idleConnections + 1, gate.settings.connections);
-        noteShed(gate.limit, now);
+        recordShed(gate.limit, now);
         break;
-    case WorkEnd::TimedOut:
-        noteTimeout(gate.limit, latency, inProgress, now);
+    case WorkOutcome::TimedOut:
+        recordTimeout(gate.limit, latency, inProgress, now);
         break;
-    case WorkEnd::Lost:
+    case WorkOutcome::Lost:
         break;
     }
 }
 
-GateMoves move(Gate &gate, BootTime now)
+GateDecisions processQueue(Gate &gate, BootTime now)
 {
-    GateMoves moves;
+    GateDecisions moves;
     moves.shed = std::exchange(gate.displaced, {});
     std::erase_if(gate.queue, [&](const Ticket &waiting) {
-        const bool late = now > waiting.urgency.startBy;
+        const bool late = now > waiting.queuePriority.dispatchDeadline;
         if (late) {
             moves.shed.push_back(waiting.id);
         }
@@ -246,7 +249,7 @@
     return moves;
 }
 
-std::vector<TicketId> takeAll(Gate &gate)
+std::vector<TicketId> removeAllQueued(Gate &gate)
 {
     std::vector<TicketId> all;
     for (const Ticket &waiting : gate.queue) {
@@ -256,21 +259,22 @@
     return all;
 }
 
-BootTime nextMove(const Gate &gate)
+BootTime nextDispatchAt(const Gate &gate)
 {
     if (gate.queue.empty()) {
         return BootTime::max();
     }
     BootTime expiry = gate.displaced.empty() ? BootTime::max() : BootTime();
     for (const Ticket &waiting : gate.queue) {
-        // Just past its last moment, when move() no longer finds it in time.
+        // Just past its last moment, when processQueue() no longer finds it in time.
         expiry = std::min({expiry, waiting.deadline - gate.serviceTime, lastMoment(waiting)});
     }
     if (gate.inProgress >= allowedNow(gate)) {
         return expiry;
     }
     const BootTime connection = gate.idleConnections > 0 ? BootTime() : gate.nextConnection;
-    const BootTime turn = gate.settings.coldPerSecond > 0 ? std::min(gate.nextCold, gate.coldUntil) : BootTime();
+    const BootTime turn =
+        gate.settings.maxColdRate > 0 ? std::min(gate.nextColdDispatchAt, gate.coldUntil) : BootTime();
     return std::min(expiry, std::max(connection, turn));
 }
 
--- a/src/agent/GateSettings.cpp
+++ b/src/agent/GateSettings.cpp
@@ -20,9 +20,9 @@
     return *this;
 }
 
-GateSettingsBuilder &GateSettingsBuilder::connectionPace(std::chrono::microseconds value)
+GateSettingsBuilder &GateSettingsBuilder::minConnectionInterval(std::chrono::microseconds value)
 {
-    this->settings.connectionPace = value;
+    this->settings.minConnectionInterval = value;
     return *this;
 }
 
@@ -32,15 +32,15 @@
     return *this;
 }
 
-GateSettingsBuilder &GateSettingsBuilder::longestWait(std::chrono::milliseconds value)
+GateSettingsBuilder &GateSettingsBuilder::maxWait(std::chrono::milliseconds value)
 {
-    this->settings.longestWait = value;
+    this->settings.maxWait = value;
     return *this;
 }
 
-GateSettingsBuilder &GateSettingsBuilder::coldPerSecond(double value)
+GateSettingsBuilder &GateSettingsBuilder::maxColdRate(double value)
 {
-    this->settings.coldPerSecond = value;
+    this->settings.maxColdRate = value;
     return *this;
 }
 
@@ -59,10 +59,10 @@
     if (this->settings.connections == 0) {
         findings.push_back({"gate connections", "0 lets nothing through", "at least 1"});
     }
-    if (this->settings.connectionPace.count() < 0) {
+    if (this->settings.minConnectionInterval.count() < 0) {
         findings.push_back({"gate connection pace", "negative", "0 or more microseconds"});
     }
-    if (this->settings.longestWait.count() < 0) {
+    if (this->settings.maxWait.count() < 0) {
         findings.push_back({"gate longest wait", "negative", "0 or more milliseconds"});
     }
     if (!findings.empty()) {
--- a/src/agent/GrantOrders.cpp
+++ b/src/agent/GrantOrders.cpp
@@ -57,7 +57,7 @@
     BootTime until;
     for (const KeyHold &hold : orders.holds) {
         if (contains(hold.range, range)) {
-            until = std::max(until, hold.surelyUntil);
+            until = std::max(until, hold.confirmedUntil);
         }
     }
     return until;
@@ -67,8 +67,8 @@
 milliseconds holdWithin(const GrantTimes &times, BootTime leaseUntil, BootTime now)
 {
     const auto left = std::chrono::duration_cast<milliseconds>(leaseUntil - now) - times.grantTimeout;
-    const milliseconds hold = std::min(times.hold, scaled(left, 1 / (1 + times.slowClock)));
-    return hold < times.shortestHold ? milliseconds(0) : hold;
+    const milliseconds hold = std::min(times.grantDuration, scaled(left, 1 / (1 + times.maxClockSlowdown)));
+    return hold < times.minGrantDuration ? milliseconds(0) : hold;
 }
 
 void addOrder(GrantOrders &orders, GrantOrder order, std::vector<GrantOrder> &due)
@@ -82,8 +82,8 @@
     GrantOrders &orders, const WantedKeys &wanted, milliseconds holdFor, BootTime now, std::vector<GrantOrder> &due)
 {
     KeyHold *hold = holdOf(orders, wanted.range);
-    const bool isEarly = hold != nullptr && now < hold->nextOrder;
-    const bool lasts = surelyHeldUntil(orders, wanted.range) - now > orders.times.renewBelow;
+    const bool isEarly = hold != nullptr && now < hold->nextOrderAt;
+    const bool lasts = surelyHeldUntil(orders, wanted.range) - now > orders.times.renewThreshold;
     if (isEarly || lasts || isBusy(orders, wanted.range) || isOutdated(orders, wanted.range)) {
         return;
     }
@@ -91,8 +91,8 @@
         orders.holds.emplace_back().range = wanted.range;
         hold = &orders.holds.back();
     }
-    const BootTime latestEnd = now + orders.times.grantTimeout + scaled(holdFor, 1 + orders.times.slowClock);
-    hold->perhapsUntil = std::max(hold->perhapsUntil, latestEnd);
+    const BootTime latestEnd = now + orders.times.grantTimeout + scaled(holdFor, 1 + orders.times.maxClockSlowdown);
+    hold->possiblyHeldUntil = std::max(hold->possiblyHeldUntil, latestEnd);
     GrantOrder order;
     order.kind = OrderKind::Grant;
     order.range = wanted.range;
@@ -107,7 +107,7 @@
     bool held = false;
     for (const KeyHold &hold : orders.holds) {
         const bool ofRange = overlap(hold.range, unwanted) && hold.range.epoch <= unwanted.epoch;
-        held = held || (ofRange && now >= hold.nextOrder && !hold.released);
+        held = held || (ofRange && now >= hold.nextOrderAt && !hold.released);
     }
     if (held && !isBusy(orders, unwanted)) {
         GrantOrder order;
@@ -118,22 +118,22 @@
     }
 }
 
-void grantEnded(GrantOrders &orders, const GrantOrder &order, OrderEnd end, BootTime now)
+void grantEnded(GrantOrders &orders, const GrantOrder &order, OrderOutcome outcome, BootTime now)
 {
     KeyHold *hold = holdOf(orders, order.range);
-    if (end == OrderEnd::Outdated) {
+    if (outcome == OrderOutcome::Outdated) {
         orders.outdated.push_back(order.range);
     }
     if (hold == nullptr) {
         return;
     }
-    if (end == OrderEnd::Done) {
-        hold->surelyUntil = order.sentAt + order.holdFor;
+    if (outcome == OrderOutcome::Done) {
+        hold->confirmedUntil = order.sentAt + order.holdFor;
         return;
     }
-    hold->nextOrder = now + orders.times.retryAfter;
-    if (end == OrderEnd::Unknown) {
-        const milliseconds longest = scaled(order.holdFor, 1 + orders.times.slowClock);
+    hold->nextOrderAt = now + orders.times.retryAfter;
+    if (outcome == OrderOutcome::Unknown) {
+        const milliseconds longest = scaled(order.holdFor, 1 + orders.times.maxClockSlowdown);
         hold->unansweredUntil = std::max(hold->unansweredUntil, order.sentAt + orders.times.grantTimeout + longest);
     }
 }
@@ -158,18 +158,18 @@
     KeyHold within = hold;
     within.range.first = std::max(hold.range.first, freed.first);
     within.range.last = std::min(hold.range.last, freed.last);
-    within.surelyUntil = {};
+    within.confirmedUntil = {};
     within.released = true;
-    within.perhapsUntil = hold.unansweredUntil;
+    within.possiblyHeldUntil = hold.unansweredUntil;
     left.push_back(within);
 }
 
-void releaseEnded(GrantOrders &orders, const GrantOrder &order, OrderEnd end, BootTime now)
+void releaseEnded(GrantOrders &orders, const GrantOrder &order, OrderOutcome outcome, BootTime now)
 {
-    if (end != OrderEnd::Done) {
+    if (outcome != OrderOutcome::Done) {
         for (KeyHold &hold : orders.holds) {
             if (overlap(hold.range, order.range)) {
-                hold.nextOrder = now + orders.times.retryAfter;
+                hold.nextOrderAt = now + orders.times.retryAfter;
             }
         }
         return;
@@ -183,11 +183,11 @@
 
 } // namespace
 
-std::vector<GrantOrder> ordersDue(GrantOrders &orders,
-                                  const std::vector<WantedKeys> &wanted,
-                                  const std::vector<HeldRange> &unwanted,
-                                  BootTime leaseUntil,
-                                  BootTime now)
+std::vector<GrantOrder> takeDueOrders(GrantOrders &orders,
+                                      const std::vector<WantedKeys> &wanted,
+                                      const std::vector<HeldRange> &unwanted,
+                                      BootTime leaseUntil,
+                                      BootTime now)
 {
     std::vector<GrantOrder> due;
     for (const HeldRange &range : unwanted) {
@@ -203,7 +203,7 @@
     return due;
 }
 
-void orderEnded(GrantOrders &orders, OrderId id, OrderEnd end, BootTime now)
+void recordOrderOutcome(GrantOrders &orders, OrderId id, OrderOutcome outcome, BootTime now)
 {
     const auto found = std::find_if(orders.open.begin(), orders.open.end(), [&](const GrantOrder &order) {
         return order.id == id;
@@ -214,40 +214,40 @@
     const GrantOrder order = *found;
     orders.open.erase(found);
     if (order.kind == OrderKind::Grant) {
-        grantEnded(orders, order, end, now);
+        grantEnded(orders, order, outcome, now);
     } else {
-        releaseEnded(orders, order, end, now);
+        releaseEnded(orders, order, outcome, now);
     }
 }
 
-void disowned(GrantOrders &orders, std::uint64_t hash)
+void recordKeyNotHeld(GrantOrders &orders, std::uint64_t hash)
 {
     for (KeyHold &hold : orders.holds) {
         if (hold.range.first <= hash && hash <= hold.range.last) {
-            hold.surelyUntil = {};
+            hold.confirmedUntil = {};
         }
     }
 }
 
-std::vector<HeldRange> heldNow(GrantOrders &orders, BootTime now)
+std::vector<HeldRange> currentlyHeld(GrantOrders &orders, BootTime now)
 {
     std::erase_if(orders.holds, [&](const KeyHold &hold) {
-        return hold.perhapsUntil <= now;
+        return hold.possiblyHeldUntil <= now;
     });
     std::vector<HeldRange> held;
     for (const KeyHold &hold : orders.holds) {
         held.push_back(hold.range);
-        held.back().confirmed = now < hold.surelyUntil;
+        held.back().confirmed = now < hold.confirmedUntil;
     }
     return held;
 }
 
-BootTime nextLook(const GrantOrders &orders, BootTime now)
+BootTime nextCheckAt(const GrantOrders &orders, BootTime now)
 {
     BootTime next = BootTime::max();
     for (const KeyHold &hold : orders.holds) {
-        const BootTime renewal = hold.surelyUntil - orders.times.renewBelow;
-        for (const BootTime moment : {hold.nextOrder, renewal, hold.surelyUntil, hold.perhapsUntil}) {
+        const BootTime renewal = hold.confirmedUntil - orders.times.renewThreshold;
+        for (const BootTime moment : {hold.nextOrderAt, renewal, hold.confirmedUntil, hold.possiblyHeldUntil}) {
             if (moment > now) {
                 next = std::min(next, moment);
             }
--- a/src/agent/Lease.cpp
+++ b/src/agent/Lease.cpp
@@ -22,14 +22,14 @@
     lease.sent.clear();
 }
 
-void fullStateApplied(Lease &lease, std::uint64_t session)
+void recordFullState(Lease &lease, std::uint64_t session)
 {
     if (session == lease.session) {
         lease.fullStateApplied = true;
     }
 }
 
-std::uint64_t noteRenewal(Lease &lease, BootTime now)
+std::uint64_t recordRenewal(Lease &lease, BootTime now)
 {
     lease.lastSequence++;
     lease.sent.push_back({lease.lastSequence, now});
@@ -64,7 +64,7 @@
     return session != lease.session || found == lease.sent.end() ? std::nullopt : std::optional(found->sentAt);
 }
 
-bool holds(const Lease &lease, BootTime now)
+bool isValidAt(const Lease &lease, BootTime now)
 {
     return now < lease.validUntil;
 }
--- a/src/agent/LimitShares.cpp
+++ b/src/agent/LimitShares.cpp
@@ -73,7 +73,7 @@
 }
 
 /** Ends a sample. */
-void noteDemand(LimitShare &share, double seconds)
+void recordDemand(LimitShare &share, double seconds)
 {
     const double sample = share.offered / seconds;
     share.demand += SampleWeight * (sample - share.demand);
@@ -113,23 +113,24 @@
     dropEndedShares(shares, now);
     dropOld(share, shares.bounds, now);
     const bool maySpend = now >= shares.startedAt + shares.bounds.window;
-    const double most =
-        maySpend ? std::floor(share.share * table::mostInWindow(workspace, shares.bounds) + Rounding) : 0;
+    const double maxTokens =
+        maySpend ? std::floor(share.share * table::maxInWindow(workspace, shares.bounds) + Rounding) : 0;
     LimitDecision decision;
-    if (static_cast<double>(share.used.size()) < most) {
+    if (static_cast<double>(share.used.size()) < maxTokens) {
         share.used.push_back(now);
-        share.wantsAhead = static_cast<double>(share.used.size()) >= most && share.permits.empty();
+        share.wantsExtraPermit = static_cast<double>(share.used.size()) >= maxTokens && share.permits.empty();
     } else if (!share.permits.empty()) {
         share.permits.pop_front();
-        share.wantsAhead = share.permits.empty() && share.share > 0;
+        share.wantsExtraPermit = share.permits.empty() && share.share > 0;
         decision.verdict = LimitVerdict::Permitted;
     } else {
         ++share.wanted;
         decision.verdict = share.share <= 0 ? LimitVerdict::NoShare : LimitVerdict::OverLimit;
         decision.retryAfter = retryAfter(share, shares.bounds, now);
     }
-    decision.ask = (share.wanted > 0 || share.wantsAhead) && now - shares.askedAt >= shares.askInterval;
-    if (decision.ask) {
+    decision.shouldAskControl =
+        (share.wanted > 0 || share.wantsExtraPermit) && now - shares.askedAt >= shares.askInterval;
+    if (decision.shouldAskControl) {
         shares.askedAt = now;
         shares.askInterval = std::min(2 * shares.askInterval, LongestAskInterval);
     }
@@ -163,9 +164,9 @@
     for (auto &[name, share] : shares.workspaces) {
         dropOld(share, shares.bounds, now);
         if (due) {
-            noteDemand(share, seconds);
+            recordDemand(share, seconds);
         }
-        if (!shares.reportAll && share.wanted == 0 && !share.wantsAhead && !(due && isWorthReporting(share))) {
+        if (!shares.reportAll && share.wanted == 0 && !share.wantsExtraPermit && !(due && isWorthReporting(share))) {
             continue;
         }
         share.reported = std::max(share.demand, SampleWeight * share.offered / seconds);
@@ -174,9 +175,9 @@
         demand.set_per_second(static_cast<float>(share.reported));
         demand.set_share(share.share);
         demand.set_permits_wanted(std::min(share.wanted, MostWanted));
-        demand.set_permit_ahead(share.wantsAhead);
+        demand.set_permit_ahead(share.wantsExtraPermit);
         share.wanted = 0;
-        share.wantsAhead = false;
+        share.wantsExtraPermit = false;
     }
     std::erase_if(shares.workspaces, [](const auto &entry) {
         return isForgotten(entry.second);
--- a/src/agent/LoadSketch.cpp
+++ b/src/agent/LoadSketch.cpp
@@ -6,21 +6,21 @@
 
 namespace {
 
-void watchKey(std::vector<WatchedKey> &keys, std::uint64_t hash)
+void watchKey(std::vector<TrackedKey> &keys, std::uint64_t hash)
 {
-    const auto known = std::find_if(keys.begin(), keys.end(), [hash](const WatchedKey &key) {
+    const auto known = std::find_if(keys.begin(), keys.end(), [hash](const TrackedKey &key) {
         return key.hash == hash;
     });
     if (known != keys.end()) {
         ++known->count;
         return;
     }
-    if (keys.size() < LoadSketch::MostKeys) {
+    if (keys.size() < LoadSketch::MaxTrackedKeys) {
         keys.push_back({.hash = hash, .count = 1, .error = 0});
         return;
     }
     const auto lightest =
-        std::min_element(keys.begin(), keys.end(), [](const WatchedKey &left, const WatchedKey &right) {
+        std::min_element(keys.begin(), keys.end(), [](const TrackedKey &left, const TrackedKey &right) {
             return left.count < right.count;
         });
     *lightest = {.hash = hash, .count = lightest->count + 1, .error = lightest->count};
@@ -80,14 +80,14 @@
 
 void tellKeys(const std::string &service, ServiceLoad &load, double seconds, wire::Renew &renew)
 {
-    const double least = LoadSketch::LeastShare * static_cast<double>(load.requests);
-    std::erase_if(load.keys, [least](const WatchedKey &key) {
+    const double least = LoadSketch::MinReportedShare * static_cast<double>(load.requests);
+    std::erase_if(load.keys, [least](const TrackedKey &key) {
         return static_cast<double>(key.count - key.error) < least;
     });
-    std::sort(load.keys.begin(), load.keys.end(), [](const WatchedKey &left, const WatchedKey &right) {
+    std::sort(load.keys.begin(), load.keys.end(), [](const TrackedKey &left, const TrackedKey &right) {
         return left.count - left.error > right.count - right.error;
     });
-    for (std::size_t number = 0; number < std::min(load.keys.size(), LoadSketch::MostTold); ++number) {
+    for (std::size_t number = 0; number < std::min(load.keys.size(), LoadSketch::MaxReportedKeys); ++number) {
         wire::HotKey &told = *renew.add_hot_keys();
         told.set_service(service);
         told.set_hash(load.keys[number].hash);
--- a/src/agent/Ownership.cpp
+++ b/src/agent/Ownership.cpp
@@ -24,8 +24,8 @@
 /** @return whether the upstream may still hold a key of the slice under its epoch or an older one */
 bool isHeld(const Ownership &ownership, const RouteMap &map, const SliceKey &key)
 {
-    const bool unheard = !ownership.grantsOfPredecessorEnded && !ownership.heardFrom.contains(key.service);
-    if (ownership.upstreamsHold && unheard) {
+    const bool unheard = !ownership.predecessorGrantsExpired && !ownership.servicesReported.contains(key.service);
+    if (ownership.upstreamsHoldGrants && unheard) {
         return true;
     }
     const auto held = ownership.held.find(key.service);
@@ -43,7 +43,7 @@
 /** @return whether a revoked slice may get new work: its upstream holds it and hasn't been told to give it up */
 bool servesUntilGivenUp(const Ownership &ownership, const SliceKey &key)
 {
-    return ownership.upstreamsHold && !ownership.withheld.contains(key);
+    return ownership.upstreamsHoldGrants && !ownership.revokesSent.contains(key);
 }
 
 /** @return whether the map still gives this very slice and epoch to one of the agent's upstreams */
@@ -82,34 +82,34 @@
     return std::tie(this->service, this->begin, this->epoch) < std::tie(other.service, other.begin, other.epoch);
 }
 
-Refusal checkOwnership(const Ownership &ownership,
-                       const RouteMap &map,
-                       const Lease &lease,
-                       std::string_view service,
-                       std::uint64_t hash,
-                       BootTime now,
-                       Slice *slice)
+OwnershipRefusal checkOwnership(const Ownership &ownership,
+                                const RouteMap &map,
+                                const Lease &lease,
+                                std::string_view service,
+                                std::uint64_t hash,
+                                BootTime now,
+                                Slice *slice)
 {
     const std::optional<Slice> found = findSlice(map, service, hash);
     if (!found || !ownership.ownUpstreams.contains(found->owner)) {
-        return Refusal::NotOwner;
+        return OwnershipRefusal::NotOwner;
     }
     const SliceKey key{std::string(service), found->begin, found->epoch};
     const bool leaving = ownership.revoked.contains(key) && !servesUntilGivenUp(ownership, key);
     if (leaving || ownership.released.contains(key)) {
-        return Refusal::Moving;
+        return OwnershipRefusal::Moving;
     }
-    if (ownership.upstreamsHold) {
+    if (ownership.upstreamsHoldGrants) {
         const auto held = ownership.held.find(service);
         if (held == ownership.held.end() || !covers(held->second, map, service, *found)) {
-            return Refusal::Moving;
+            return OwnershipRefusal::Moving;
         }
     }
-    if (!holds(lease, now)) {
-        return Refusal::NoLease;
+    if (!isValidAt(lease, now)) {
+        return OwnershipRefusal::NoLease;
     }
     *slice = *found;
-    return Refusal::None;
+    return OwnershipRefusal::None;
 }
 
 bool covers(const std::vector<HeldRange> &held, const RouteMap &map, std::string_view service, const Slice &slice)
@@ -128,10 +128,10 @@
                  BootTime now)
 {
     Slice slice;
-    return checkOwnership(ownership, map, lease, service, hash, now, &slice) == Refusal::None;
+    return checkOwnership(ownership, map, lease, service, hash, now, &slice) == OwnershipRefusal::None;
 }
 
-void disowned(Ownership &ownership, std::string_view service, std::uint64_t hash)
+void recordKeyNotHeld(Ownership &ownership, std::string_view service, std::uint64_t hash)
 {
     const auto held = ownership.held.find(service);
     if (held == ownership.held.end()) {
@@ -175,7 +175,7 @@
             continue;
         }
         addTo(released, ownership, *next);
-        ownership.withheld.erase(*next);
+        ownership.revokesSent.erase(*next);
         ownership.released.insert(*next);
         next = ownership.revoked.erase(next);
     }
--- a/src/agent/Urgency.cpp
+++ b/src/agent/QueuePriority.cpp
@@ -1,4 +1,4 @@
-#include "agent/Urgency.h"
+#include "agent/QueuePriority.h"
 
 #include <algorithm>
 #include <tuple>
@@ -26,19 +26,19 @@
 
 } // namespace
 
-Urgency urgencyOf(const TimeTargets &targets, BootTime acceptedAt)
+QueuePriority queuePriorityOf(const TimeTargets &targets, BootTime acceptedAt)
 {
     return {
         .priority = targets.priority,
-        .orderBy = acceptedAt + targets.targetLatency,
-        .startBy = acceptedAt + std::max(part(targets.timeout, StartShare), ShortestWait),
-        .ownerBy = acceptedAt + std::max(part(targets.targetLatency, OwnerShare), ShortestWait),
+        .targetDeadline = acceptedAt + targets.targetLatency,
+        .dispatchDeadline = acceptedAt + std::max(part(targets.timeout, StartShare), ShortestWait),
+        .ownerWaitDeadline = acceptedAt + std::max(part(targets.targetLatency, OwnerShare), ShortestWait),
     };
 }
 
-bool goesBefore(const Urgency &one, const Urgency &other)
+bool hasPriorityOver(const QueuePriority &one, const QueuePriority &other)
 {
-    return std::tie(one.priority, one.orderBy) < std::tie(other.priority, other.orderBy);
+    return std::tie(one.priority, one.targetDeadline) < std::tie(other.priority, other.targetDeadline);
 }
 
 } // namespace bergamotweir::agent
--- a/src/agent/RequestStep.cpp
+++ b/src/agent/RequestStep.cpp
@@ -38,26 +38,26 @@
     state.live.clear();
 }
 
-void record(const RequestState &state, ClaimEnd outcome, unsigned attempt, Actions &actions)
+void record(const RequestState &state, ClaimResolution resolution, unsigned attempt, Actions &actions)
 {
     if (state.claimGranted) {
-        actions.push_back({.kind = ActionKind::Record, .attempt = attempt, .outcome = outcome});
+        actions.push_back({.kind = ActionKind::Record, .attempt = attempt, .claimResolution = resolution});
     }
 }
 
-int statusOf(AttemptEnd end)
+int statusOf(AttemptOutcome outcome)
 {
-    switch (end) {
-    case AttemptEnd::OverLimit:
+    switch (outcome) {
+    case AttemptOutcome::OverLimit:
         return 429;
-    case AttemptEnd::Quarantined:
+    case AttemptOutcome::Quarantined:
         return 422;
-    case AttemptEnd::TimedOut:
+    case AttemptOutcome::TimedOut:
         return 504;
-    case AttemptEnd::NotOwner:
-    case AttemptEnd::Disowned:
-    case AttemptEnd::NoRoom:
-    case AttemptEnd::NotSent:
+    case AttemptOutcome::NotOwner:
+    case AttemptOutcome::KeyNotHeld:
+    case AttemptOutcome::Overloaded:
+    case AttemptOutcome::NotSent:
         return 503;
     default:
         return 502;
@@ -70,7 +70,7 @@
 }
 
 /** Ends the request with a problem; the answer goes out before the claim's outcome. */
-void refuse(RequestState &state, RefusalFacts refusal, Actions &actions)
+void refuse(RequestState &state, RefusalDetails refusal, Actions &actions)
 {
     refusal.ran = ranIfGivenUp(state);
     refusal.retryAfter = helpsToComeBack(refusal.status);
@@ -78,12 +78,14 @@
     state.stage = Stage::Ended;
     state.ran = refusal.ran;
     actions.push_back({.kind = ActionKind::Refuse, .refusal = refusal});
-    record(state, refusal.ran == Ran::No ? ClaimEnd::Released : ClaimEnd::Unknown, 0, actions);
+    record(state, refusal.ran == Ran::No ? ClaimResolution::Released : ClaimResolution::Unknown, 0, actions);
 }
 
 void refuseAttempt(RequestState &state, Actions &actions)
 {
-    refuse(state, {.cause = RefusalCause::Attempt, .end = state.lastEnd, .status = statusOf(state.lastEnd)}, actions);
+    refuse(state,
+           {.cause = RefusalCause::Attempt, .outcome = state.lastOutcome, .status = statusOf(state.lastOutcome)},
+           actions);
 }
 
 void route(RequestState &state, Actions &actions)
@@ -95,10 +97,11 @@
 /** Holds the request for a jittered pause: requests that were refused together don't come back together. */
 void wait(RequestState &state, BootTime now, const RequestContext &context, Actions &actions)
 {
-    const auto spread = static_cast<std::uint32_t>((LongestPause - ShortestPause).count());
-    const std::chrono::milliseconds pause = ShortestPause + std::chrono::milliseconds((*context.random)(spread));
-    const bool ownerChanges = state.facts.keyed && state.lastEnd == AttemptEnd::NotOwner;
-    const BootTime latest = ownerChanges ? state.facts.urgency.ownerBy : state.facts.urgency.startBy;
+    const auto spread = static_cast<std::uint32_t>((MaxPause - MinPause).count());
+    const std::chrono::milliseconds pause = MinPause + std::chrono::milliseconds((*context.random)(spread));
+    const bool ownerChanges = state.facts.keyed && state.lastOutcome == AttemptOutcome::NotOwner;
+    const BootTime latest =
+        ownerChanges ? state.facts.queuePriority.ownerWaitDeadline : state.facts.queuePriority.dispatchDeadline;
     if (now + pause >= std::min(state.facts.deadline, latest)) {
         refuseAttempt(state, actions);
         return;
@@ -161,7 +164,7 @@
         refuse(state, {.cause = RefusalCause::ClaimUnavailable, .status = 503}, actions);
         return;
     case ClaimAnswer::InProgress:
-        if (now + LongestPause >= state.facts.deadline) {
+        if (now + MaxPause >= state.facts.deadline) {
             refuse(state, {.cause = RefusalCause::ClaimInProgress, .status = 409}, actions);
             return;
         }
@@ -173,8 +176,8 @@
 /** Only reads of unkeyed services, where another upstream can answer as well, and once. */
 bool mayHedge(const RequestState &state)
 {
-    return !state.facts.keyed && !state.facts.forwarded && state.facts.hedged && isRead(state.facts.method)
-           && !state.hedged && state.tries < state.facts.mostTries;
+    return !state.facts.keyed && !state.facts.forwarded && state.facts.canHedge && isRead(state.facts.method)
+           && !state.hedged && state.tries < state.facts.maxTries;
 }
 
 void routed(
@@ -187,13 +190,13 @@
         }
         if (state.facts.forwarded) {
             // The agent that sent it waits; it knows of newer routes first.
-            state.lastEnd = AttemptEnd::NotOwner;
+            state.lastOutcome = AttemptOutcome::NotOwner;
             refuseAttempt(state, actions);
             return;
         }
         // Nothing to route to now: a move, a loss being repaired, or every upstream tried. Not a try of its own.
         if (state.tries == 0) {
-            state.lastEnd = AttemptEnd::NotOwner;
+            state.lastOutcome = AttemptOutcome::NotOwner;
         }
         state.tried.clear();
         wait(state, now, context, actions);
@@ -218,7 +221,8 @@
  */
 bool isRouteEnd(const RequestState &state)
 {
-    return state.lastEnd == AttemptEnd::NotOwner || (state.facts.keyed && state.lastEnd == AttemptEnd::NotSent);
+    return state.lastOutcome == AttemptOutcome::NotOwner
+           || (state.facts.keyed && state.lastOutcome == AttemptOutcome::NotSent);
 }
 
 void attemptFailed(
@@ -228,13 +232,13 @@
     if (!state.live.empty()) {
         return;
     }
-    const bool maySendAgain = state.ran == Ran::No || mayRepeat(state.facts);
-    if (state.facts.forwarded || !maySendAgain || state.lastEnd == AttemptEnd::Quarantined) {
+    const bool maySendAgain = state.ran == Ran::No || canRetry(state.facts);
+    if (state.facts.forwarded || !maySendAgain || state.lastOutcome == AttemptOutcome::Quarantined) {
         refuseAttempt(state, actions);
         return;
     }
     if (isRouteEnd(state)) {
-        const bool askAnother = !state.facts.keyed && state.tries < state.facts.mostTries;
+        const bool askAnother = !state.facts.keyed && state.tries < state.facts.maxTries;
         if (askAnother) {
             route(state, actions);
             return;
@@ -244,7 +248,7 @@
         wait(state, now, context, actions);
         return;
     }
-    if (state.tries >= state.facts.mostTries || now >= state.facts.deadline || !withdraw(*context.retries)) {
+    if (state.tries >= state.facts.maxTries || now >= state.facts.deadline || !withdraw(*context.retries)) {
         refuseAttempt(state, actions);
         return;
     }
@@ -267,18 +271,18 @@
     }
     const Attempt attempt = *found;
     state.live.erase(found);
-    if (event.end == AttemptEnd::Answered) {
+    if (event.outcome == AttemptOutcome::Answered) {
         cancelLive(state, actions);
         state.stage = Stage::Ended;
         state.ran = Ran::Yes;
         actions.push_back({.kind = ActionKind::Relay, .attempt = attempt.id});
-        record(state, ClaimEnd::Answered, attempt.id, actions);
+        record(state, ClaimResolution::Answered, attempt.id, actions);
         return;
     }
     if (event.mayHaveRun) {
         raise(state.ran, Ran::Unknown);
     }
-    state.lastEnd = event.end;
+    state.lastOutcome = event.outcome;
     attemptFailed(state, attempt, now, context, actions);
 }
 
@@ -324,7 +328,7 @@
     cancelLive(state, actions);
     state.stage = Stage::Ended;
     state.ran = ran;
-    record(state, ClaimEnd::Released, 0, actions);
+    record(state, ClaimResolution::Released, 0, actions);
 }
 
 /**
@@ -339,7 +343,7 @@
         return;
     }
     state.claimGranted = true;
-    record(state, ClaimEnd::Released, 0, actions);
+    record(state, ClaimResolution::Released, 0, actions);
 }
 
 } // namespace
@@ -350,7 +354,7 @@
     return std::find(Idempotent.begin(), Idempotent.end(), method) != Idempotent.end();
 }
 
-bool mayRepeat(const RequestFacts &facts)
+bool canRetry(const RequestFacts &facts)
 {
     return facts.repeatable.value_or(isIdempotent(facts.method));
 }
@@ -374,7 +378,7 @@
         break;
     case EventKind::FoundQuarantined:
         raise(state.ran, state.facts.claimed ? Ran::Unknown : Ran::No);
-        state.lastEnd = AttemptEnd::Quarantined;
+        state.lastOutcome = AttemptOutcome::Quarantined;
         refuseAttempt(state, actions);
         break;
     case EventKind::ClaimAnswered:
@@ -411,7 +415,7 @@
     case EventKind::DeadlinePassed:
         refuse(state, {.cause = RefusalCause::DeadlinePassed, .status = 504}, actions);
         break;
-    case EventKind::CallerGone:
+    case EventKind::CallerDisconnected:
         callerGone(state, actions);
         break;
     }
--- a/src/agent/ComeBack.cpp
+++ b/src/agent/RetryAfter.cpp
@@ -1,4 +1,4 @@
-#include "agent/ComeBack.h"
+#include "agent/RetryAfter.h"
 
 namespace bergamotweir::agent {
 
@@ -15,9 +15,10 @@
 
 } // namespace
 
-milliseconds comeBackAfter(AttemptEnd end, pcg32 &random)
+milliseconds chooseRetryAfter(AttemptOutcome outcome, pcg32 &random)
 {
-    const bool noOwner = end == AttemptEnd::NotOwner || end == AttemptEnd::Disowned || end == AttemptEnd::NotSent;
+    const bool noOwner = outcome == AttemptOutcome::NotOwner || outcome == AttemptOutcome::KeyNotHeld
+                         || outcome == AttemptOutcome::NotSent;
     const milliseconds shortest = noOwner ? ShortestForOwner : ShortestForRoom;
     const milliseconds longest = noOwner ? LongestForOwner : LongestForRoom;
     return shortest + milliseconds(random(static_cast<std::uint32_t>((longest - shortest).count())));
--- a/src/agent/RetryBudget.cpp
+++ b/src/agent/RetryBudget.cpp
@@ -6,7 +6,7 @@
 
 void deposit(RetryBudget &budget)
 {
-    budget.tokens = std::min(budget.most, budget.tokens + budget.ratio);
+    budget.tokens = std::min(budget.maxTokens, budget.tokens + budget.ratio);
 }
 
 bool withdraw(RetryBudget &budget)
--- a/src/agent/RouteMap.cpp
+++ b/src/agent/RouteMap.cpp
@@ -59,10 +59,10 @@
     return std::tuple(left.term(), left.index()) < std::tuple(right.term(), right.index());
 }
 
-UpdateEnd apply(RouteMap &map, const wire::StateUpdate &update)
+UpdateOutcome apply(RouteMap &map, const wire::StateUpdate &update)
 {
     if (isOlder(update.version(), map.version)) {
-        return UpdateEnd::Older;
+        return UpdateOutcome::Older;
     }
     map.version = update.version();
     if (update.full()) {
@@ -83,7 +83,7 @@
     for (const std::uint64_t released : update.released_from_quarantine()) {
         map.quarantined.erase(released);
     }
-    return UpdateEnd::Applied;
+    return UpdateOutcome::Applied;
 }
 
 std::optional<Slice> findSlice(const RouteMap &map, std::string_view service, std::uint64_t hash)
--- a/src/agent/Router.cpp
+++ b/src/agent/Router.cpp
@@ -259,7 +259,7 @@
     std::copy_if(open.begin(), open.end(), std::back_inserter(local), [&](const Candidate &candidate) {
         const auto found = routing.health.find(candidate.upstream);
         const double load = found == routing.health.end() ? 0 : reportedLoad(found->second, now);
-        return candidate.localDomain && load < routing.localUntilLoad;
+        return candidate.localDomain && load < routing.maxLocalLoad;
     });
     return local;
 }
@@ -280,7 +280,7 @@
         return left[random(static_cast<std::uint32_t>(left.size()))].upstream;
     }
     if (routing.policy == ChoicePolicy::RoundRobin) {
-        return left[routing.turn++ % left.size()].upstream;
+        return left[routing.nextIndex++ % left.size()].upstream;
     }
     if (routing.policy == ChoicePolicy::WeightedRandom) {
         double total = 0;
@@ -300,7 +300,7 @@
     return twoChoices(routing, open.empty() ? left : open, random, now).upstream;
 }
 
-void noteSent(ServiceRouting &routing, std::uint32_t upstream, BootTime now)
+void recordSent(ServiceRouting &routing, std::uint32_t upstream, BootTime now)
 {
     UpstreamHealth &health = routing.health[upstream];
     if (health.outstanding == 0) {
@@ -309,7 +309,7 @@
     health.outstanding++;
 }
 
-void noteAnswered(
+void recordAnswered(
     ServiceRouting &routing, std::uint32_t upstream, std::chrono::nanoseconds latency, double load, BootTime now)
 {
     noteEnded(routing, upstream);
@@ -326,7 +326,7 @@
     judge(routing, upstream, latency, now);
 }
 
-void noteShed(ServiceRouting &routing, std::uint32_t upstream, BootTime now)
+void recordShed(ServiceRouting &routing, std::uint32_t upstream, BootTime now)
 {
     noteEnded(routing, upstream);
     UpstreamHealth &health = routing.health[upstream];
@@ -334,7 +334,7 @@
     health.loadAt = now;
 }
 
-void noteFailed(ServiceRouting &routing, std::uint32_t upstream, std::chrono::nanoseconds waited, BootTime now)
+void recordFailed(ServiceRouting &routing, std::uint32_t upstream, std::chrono::nanoseconds waited, BootTime now)
 {
     noteEnded(routing, upstream);
     UpstreamHealth &health = routing.health[upstream];
@@ -349,7 +349,7 @@
     }
 }
 
-void noteCancelled(ServiceRouting &routing, std::uint32_t upstream, std::chrono::nanoseconds waited, BootTime now)
+void recordCancelled(ServiceRouting &routing, std::uint32_t upstream, std::chrono::nanoseconds waited, BootTime now)
 {
     noteEnded(routing, upstream);
     UpstreamHealth &health = routing.health[upstream];
--- a/src/base/Backoff.cpp
+++ b/src/base/Backoff.cpp
@@ -11,15 +11,15 @@
 
 } // namespace
 
-std::chrono::milliseconds grown(const BackoffSettings &settings, unsigned failures)
+std::chrono::milliseconds exponentialDelay(const BackoffSettings &settings, unsigned failures)
 {
     const std::chrono::milliseconds doubled = settings.first * (1L << std::min(failures, MostDoublings));
-    return std::min(doubled, settings.most);
+    return std::min(doubled, settings.max);
 }
 
-std::chrono::milliseconds nextPause(const BackoffSettings &settings, unsigned failures, pcg32 &random)
+std::chrono::milliseconds nextBackoff(const BackoffSettings &settings, unsigned failures, pcg32 &random)
 {
-    const std::chrono::milliseconds longest = grown(settings, failures == 0 ? 0 : failures - 1);
+    const std::chrono::milliseconds longest = exponentialDelay(settings, failures == 0 ? 0 : failures - 1);
     const auto spread = static_cast<std::uint32_t>(longest.count() / 2 + 1);
     return longest - std::chrono::milliseconds(random(spread));
 }
--- a/src/cli/AllCommands.cpp
+++ b/src/cli/AllCommands.cpp
@@ -135,7 +135,7 @@
     return {
         {.name = "member add",
          .summary = "Takes a replica into the control group as a learner.",
-         .arguments = {id, {&ReplicaPlaceKind, "where it is reached"}},
+         .arguments = {id, {&ReplicaAddressKind, "where it is reached"}},
          .settings = askSettings(),
          .example = "bergamotweir member add c4 127.0.0.1:7104/7004 --control 127.0.0.1:7001",
          .run = runMemberAdd},
--- a/src/cli/Change.cpp
+++ b/src/cli/Change.cpp
@@ -104,7 +104,7 @@
 {
     const std::string author = values.text("author");
     return {
-        .changeId = values.given("change-id") ? values.text("change-id") : context.newChangeId(),
+        .changeId = values.isSet("change-id") ? values.text("change-id") : context.newChangeId(),
         .author = author.empty() ? context.environment("USER").value_or("operator") : author,
         .time = std::chrono::time_point_cast<std::chrono::milliseconds>(context.wallClock()),
     };
--- a/src/cli/ProcessSettings.cpp
+++ b/src/cli/ProcessSettings.cpp
@@ -129,7 +129,7 @@
     for (const wire::Replica &replica : settings.initial.replicas()) {
         isListed = isListed || replica.id() == settings.replicaId;
     }
-    if (settings.join == values.given("replicas")) {
+    if (settings.join == values.isSet("replicas")) {
         findings.push_back({values.place("replicas"),
                             settings.join ? "is given together with --join" : "is missing, and so is --join",
                             "one of the two"});
--- a/src/cli/ReadSettings.cpp
+++ b/src/cli/ReadSettings.cpp
@@ -26,7 +26,7 @@
 
 void check(Reading &reading, const ValueKind &kind, const std::string &value, const std::string &place)
 {
-    if (!kind.good(value)) {
+    if (!kind.isValid(value)) {
         reading.findings.push_back({place,
                                     "\"" + value.substr(0, 80) + "\" isn't " + std::string(kind.expected),
                                     "for example " + std::string(kind.example)});
@@ -48,7 +48,7 @@
     for (const Setting &setting : command.settings) {
         const std::string variable = variableName(setting.name);
         const std::optional<std::string> value = environment(variable);
-        if (reading.values.given(setting.name)) {
+        if (reading.values.isSet(setting.name)) {
             continue;
         }
         if (value.has_value() && !value->empty()) {
--- a/src/cli/ReplicaList.cpp
+++ b/src/cli/ReplicaList.cpp
@@ -18,7 +18,7 @@
     const std::string_view raftAddress = text.substr(equals + 1, slash - equals - 1);
     const std::string address(raftAddress.substr(0, raftAddress.rfind(':')));
     const std::string controlAddress = address + ":" + std::string(text.substr(slash + 1));
-    if (!NameKind.good(id) || !EndpointKind.good(raftAddress) || !EndpointKind.good(controlAddress)
+    if (!NameKind.isValid(id) || !EndpointKind.isValid(raftAddress) || !EndpointKind.isValid(controlAddress)
         || raftAddress == controlAddress) {
         return std::nullopt;
     }
--- a/src/cli/TableCommands.cpp
+++ b/src/cli/TableCommands.cpp
@@ -55,7 +55,7 @@
     if (values.text("base") != "current") {
         return values.number("base");
     }
-    if (!values.given("change-id")) {
+    if (!values.isSet("change-id")) {
         return now.tableVersion;
     }
     wire::OperatorRequest request;
--- a/src/cli/TraceCommand.cpp
+++ b/src/cli/TraceCommand.cpp
@@ -35,7 +35,7 @@
     std::vector<Found> request;
     std::vector<Found> beliefs;
     Findings findings;
-    std::uint64_t leftOut = 0;
+    std::uint64_t suppressed = 0;
 };
 
 /** Calls @p take for each line of a file, with an empty string for a line that is too long. @return false on a read
@@ -92,7 +92,7 @@
                 reading.findings.push_back({place, "names the request but is no whole line of a log", {}});
                 return;
             }
-            reading.leftOut += object.value("left_out", 0U) + object.value("lines_lost", 0U);
+            reading.suppressed += object.value("left_out", 0U) + object.value("lines_lost", 0U);
             if (isOf(object.value("request", ""), id) && reading.request.size() < MostKept) {
                 reading.request.push_back({place, std::move(object)});
             }
@@ -170,13 +170,14 @@
             lines.push_back(found.line);
             lines.back()["place"] = found.place;
         }
-        context.out << json{{"request", id}, {"lines", lines}, {"left_out", reading.leftOut}}.dump(2) << "\n";
+        context.out << json{{"request", id}, {"lines", lines}, {"left_out", reading.suppressed}}.dump(2) << "\n";
     } else {
         for (const Found &found : all) {
             printLine(context.out, found);
         }
-        if (reading.leftOut > 0) {
-            context.out << reading.leftOut << " lines were left out where these were written: the way may have gaps\n";
+        if (reading.suppressed > 0) {
+            context.out << reading.suppressed
+                        << " lines were left out where these were written: the way may have gaps\n";
         }
     }
     if (reading.request.empty()) {
--- a/src/cli/ValueKinds.cpp
+++ b/src/cli/ValueKinds.cpp
@@ -122,10 +122,10 @@
                               "a list of IPv4 addresses with ports, joined by commas",
                               "127.0.0.1:7001,127.0.0.1:7002,127.0.0.1:7003",
                               areEndpoints};
-const ValueKind ReplicaPlaceKind{"IP:RAFTPORT/CONTROLPORT",
-                                 "an IPv4 address with a raft port and a control port",
-                                 "127.0.0.1:7101/7001",
-                                 isReplicaPlace};
+const ValueKind ReplicaAddressKind{"IP:RAFTPORT/CONTROLPORT",
+                                   "an IPv4 address with a raft port and a control port",
+                                   "127.0.0.1:7101/7001",
+                                   isReplicaPlace};
 const ValueKind ReplicasKind{"ID=IP:RAFTPORT/CONTROLPORT,...",
                              "a list of replicas with different ids and addresses, joined by commas",
                              "c1=127.0.0.1:7101/7001,c2=127.0.0.1:7102/7002,c3=127.0.0.1:7103/7003",
--- a/src/cli/Values.cpp
+++ b/src/cli/Values.cpp
@@ -25,7 +25,7 @@
     this->positional.push_back(std::move(value));
 }
 
-bool Values::given(std::string_view setting) const
+bool Values::isSet(std::string_view setting) const
 {
     const auto found = this->settings.find(setting);
     return found != this->settings.end() && !found->second.place.empty();
@@ -64,7 +64,7 @@
 
 std::string Values::place(std::string_view setting) const
 {
-    return this->given(setting) ? this->settings.find(setting)->second.place : "flag --" + std::string(setting);
+    return this->isSet(setting) ? this->settings.find(setting)->second.place : "flag --" + std::string(setting);
 }
 
 const std::vector<std::string> &Values::arguments() const
--- a/src/control/Assignment.cpp
+++ b/src/control/Assignment.cpp
@@ -203,7 +203,7 @@
     return withoutDetours(moves);
 }
 
-double leastChurn(const std::vector<Member> &members, const std::vector<LoadedSlice> &slices, double tolerance)
+double minChurn(const std::vector<Member> &members, const std::vector<LoadedSlice> &slices, double tolerance)
 {
     if (members.empty()) {
         return 0;
--- a/src/control/ClaimStore.cpp
+++ b/src/control/ClaimStore.cpp
@@ -35,8 +35,8 @@
 
 } // namespace
 
-ClaimStore::ClaimStore(std::size_t mostClaims)
-    : mostClaims(mostClaims)
+ClaimStore::ClaimStore(std::size_t maxClaims)
+    : maxClaims(maxClaims)
 {
 }
 
@@ -47,7 +47,7 @@
     if (found != this->claims.end()) {
         return answerFor(found->second, request);
     }
-    if (this->claims.size() >= this->mostClaims) {
+    if (this->claims.size() >= this->maxClaims) {
         return verdict(wire::CLAIM_VERDICT_FULL);
     }
     *this->claims[name].mutable_request() = request;
@@ -79,7 +79,7 @@
     }
     *record.mutable_outcome() = outcome;
     const std::size_t bytes = outcome.body().size();
-    if (bytes > MostAnswerBytes || this->answerBytes + bytes > MostTotalBytes) {
+    if (bytes > MaxAnswerBytes || this->answerBytes + bytes > MaxTotalBytes) {
         record.mutable_outcome()->clear_body();
         record.mutable_outcome()->set_body_dropped(true);
     }
--- a/src/control/Coordinator.cpp
+++ b/src/control/Coordinator.cpp
@@ -23,37 +23,37 @@
     : settings(settings)
     , state(state)
 {
-    this->limitBook.settings = settings.limits;
+    this->limitAllocator.settings = settings.limits;
 }
 
 void Coordinator::lead(BootTime now)
 {
     this->follow();
     this->leading = true;
-    beginLeading(this->limitBook, now);
+    beginLeading(this->limitAllocator, now);
     // The leader before may have renewed any lease up to the moment a quorum elected this one, and a grant made by
     // this one must not overlap with it: every known agent counts as renewed now.
     for (const auto &[id, upstream] : this->state.upstreams().all()) {
-        AgentRecord &agent = this->book.get(upstream.agent());
+        AgentRecord &agent = this->agentRegistry.getOrCreate(upstream.agent());
         agent.failureDomain = upstream.failure_domain();
         agent.peerAddress = upstream.peer_address();
         agent.incarnation = upstream.agent_incarnation();
         agent.leaseEnd = now + this->settings.lease + this->settings.drift;
-        agent.heardUntil = agent.leaseEnd + this->settings.takeoverGrace;
+        agent.presumedAliveUntil = agent.leaseEnd + this->settings.takeoverGrace;
     }
 }
 
 void Coordinator::follow()
 {
-    for (const auto &[name, agent] : this->book.agents) {
+    for (const auto &[name, agent] : this->agentRegistry.agents) {
         if (agent.session != 0) {
             this->actions.emplace_back(CloseAction{agent.session});
         }
     }
     this->leading = false;
     this->roundInFlight = false;
-    this->book.clear();
-    this->moveBook.moves.clear();
+    this->agentRegistry.clear();
+    this->moveTracker.moves.clear();
     this->loads.clear();
     this->waiting = {};
     this->inRound = {};
@@ -70,33 +70,34 @@
         this->actions.emplace_back(CloseAction{session});
         return;
     }
-    AgentRecord &agent = this->book.get(hello.agent());
+    AgentRecord &agent = this->agentRegistry.getOrCreate(hello.agent());
     if (agent.session != 0) {
         this->actions.emplace_back(CloseAction{agent.session});
     }
     if (agent.incarnation != hello.incarnation()) {
         // Two processes under one name: a VM was replaced while its predecessor is frozen and may return.
         const bool movedVm = agent.peerAddress != hello.peer_address();
-        const bool ended = this->settings.addressProvesEnd && !movedVm;
+        const bool ended = this->settings.addressReuseProvesExit && !movedVm;
         if (ended) {
-            succeedLife(this->limitBook, lifeOf(agent), lifeOf(agent.name, hello.incarnation()), now);
-        } else if (!agent.incarnation.empty() && !isKnown(this->limitBook, lifeOf(agent))) {
-            agent.unknownPredecessor = true;
+            transferShares(
+                this->limitAllocator, incarnationIdOf(agent), incarnationIdOf(agent.name, hello.incarnation()), now);
+        } else if (!agent.incarnation.empty() && !isKnown(this->limitAllocator, incarnationIdOf(agent))) {
+            agent.hasUnknownPredecessor = true;
         }
-        agent.heldUntil = ended ? now : agent.leaseEnd;
+        agent.leaseBlockedUntil = ended ? now : agent.leaseEnd;
         for (const std::uint32_t id : this->state.upstreams().ofAgent(agent.name)) {
-            const auto work = movedVm ? this->longestWork(*this->state.upstreams().find(id)) : BootClock::duration(0);
-            agent.heldUntil = ended ? now : std::max(agent.heldUntil, agent.leaseEnd + work);
+            const auto work = movedVm ? this->maxWorkTime(*this->state.upstreams().find(id)) : BootClock::duration(0);
+            agent.leaseBlockedUntil = ended ? now : std::max(agent.leaseBlockedUntil, agent.leaseEnd + work);
         }
     }
-    this->book.bind(agent, session);
+    this->agentRegistry.attachSession(agent, session);
     agent.failureDomain = hello.failure_domain();
     agent.peerAddress = hello.peer_address();
     agent.incarnation = hello.incarnation();
-    agent.inForce = hello.seen();
-    agent.heardUntil = std::max(agent.heardUntil, now + this->settings.lease);
-    agent.announceBy = now + this->settings.announceGrace;
-    agent.started = now - std::chrono::milliseconds(hello.uptime_ms());
+    agent.appliedVersion = hello.seen();
+    agent.presumedAliveUntil = std::max(agent.presumedAliveUntil, now + this->settings.lease);
+    agent.announceDeadline = now + this->settings.announceGrace;
+    agent.startedAt = now - std::chrono::milliseconds(hello.uptime_ms());
     // Guards against agents that take a busy leader for a dead one. It shows when all agents come at once after a loss
     // of power: the full state of the last one is due after seconds, and each that leaves and comes back makes that
     // later. A word at once costs a few bytes and says that waiting is worth it.
@@ -109,22 +110,22 @@
 
 void Coordinator::closed(SessionId session)
 {
-    this->book.unbind(session);
+    this->agentRegistry.detachSession(session);
 }
 
 void Coordinator::received(SessionId session, const wire::AgentMessage &message, BootTime now)
 {
-    AgentRecord *const agent = this->book.bySession(session);
+    AgentRecord *const agent = this->agentRegistry.findBySession(session);
     if (agent == nullptr) {
         return;
     }
-    agent->heardUntil = std::max(agent->heardUntil, now + this->settings.lease);
+    agent->presumedAliveUntil = std::max(agent->presumedAliveUntil, now + this->settings.lease);
     switch (message.body_case()) {
     case wire::AgentMessage::kRenew:
         this->loads.report(message.renew(), now);
-        noteDemand(this->limitBook, lifeOf(*agent), message.renew(), now);
-        if (isBefore(agent->inForce, message.renew().in_force())) {
-            agent->inForce = message.renew().in_force();
+        recordDemand(this->limitAllocator, incarnationIdOf(*agent), message.renew(), now);
+        if (isBefore(agent->appliedVersion, message.renew().in_force())) {
+            agent->appliedVersion = message.renew().in_force();
         }
         // The round begins at the next tick: one round then carries every renewal of that time, and an idle control
         // group exchanges messages by the tick and not by the number of agents.
@@ -156,7 +157,7 @@
         return;
     }
     add(this->batch, applied.update);
-    if (this->batch.quiet) {
+    if (this->batch.isIdle) {
         this->sendBatch();
     }
     for (const wire::UpstreamInfo &upstream : applied.update.upstreams()) {
@@ -166,12 +167,12 @@
         for (const auto &[service, map] : this->state.services()) {
             // Operators' changes are waited for by people; only restarts are worth waiting out.
             this->watches[service].dirty = true;
-            this->watches[service].evenAtOnce = true;
+            this->watches[service].rebalanceAtOnce = true;
         }
     }
 }
 
-void Coordinator::proposed(std::uint64_t proposal, ProposalEnd end)
+void Coordinator::proposed(std::uint64_t proposal, ProposalOutcome outcome)
 {
     const auto found = this->proposals.find(proposal);
     if (found == this->proposals.end()) {
@@ -179,8 +180,8 @@
     }
     const Proposal ended = std::move(found->second);
     this->proposals.erase(found);
-    if (!ended.takenFrom.empty()) {
-        --this->book.get(ended.takenFrom).takes;
+    if (!ended.previousAgent.empty()) {
+        --this->agentRegistry.getOrCreate(ended.previousAgent).forcedMovesInFlight;
     }
     this->upstreamsInFlight.erase(ended.upstream);
     if (!ended.splits.empty()) {
@@ -188,22 +189,22 @@
         this->watches[ended.splits].dirty = true;
     }
     for (const SliceName &slice : ended.slices) {
-        this->endMove(slice, end);
+        this->endMove(slice, outcome);
     }
 }
 
-void Coordinator::endMove(const SliceName &slice, ProposalEnd end)
+void Coordinator::endMove(const SliceName &slice, ProposalOutcome outcome)
 {
-    Move &move = this->moveBook.moves.at(slice);
-    if (end != ProposalEnd::Applied) {
+    Move &move = this->moveTracker.moves.at(slice);
+    if (outcome != ProposalOutcome::Applied) {
         // The lease of an agent that it's taken from stays held back: the change is proposed again.
         move.phase = MovePhase::Released;
         return;
     }
-    if (!move.takenFrom.empty()) {
-        --this->book.get(move.takenFrom).takes;
+    if (!move.previousAgent.empty()) {
+        --this->agentRegistry.getOrCreate(move.previousAgent).forcedMovesInFlight;
     }
-    this->moveBook.moves.erase(slice);
+    this->moveTracker.moves.erase(slice);
 }
 
 void Coordinator::confirmed(bool leads, BootTime now)
@@ -218,9 +219,10 @@
         this->waiting.opened.insert(this->waiting.opened.end(), round.opened.begin(), round.opened.end());
         return;
     }
-    this->inform(round.opened);
+    this->sendFullState(round.opened);
     for (const auto &[session, heartbeat] : round.heartbeats) {
-        if (AgentRecord *const agent = this->book.bySession(session); agent != nullptr && agent->informed) {
+        if (AgentRecord *const agent = this->agentRegistry.findBySession(session);
+            agent != nullptr && agent->hasFullState) {
             this->renew(*agent, heartbeat, now);
         }
     }
@@ -242,8 +244,8 @@
     wire::ControlMessage message;
     *message.mutable_update()->mutable_version() = this->state.version();
     message.mutable_update()->mutable_controls()->Assign(this->controls.begin(), this->controls.end());
-    for (const auto &[name, agent] : this->book.agents) {
-        if (agent.informed) {
+    for (const auto &[name, agent] : this->agentRegistry.agents) {
+        if (agent.hasFullState) {
             this->actions.emplace_back(
                 SendAction{agent.session, std::make_shared<const wire::ControlMessage>(message)});
         }
@@ -256,23 +258,23 @@
         return;
     }
     this->lastTick = now;
-    this->batch.quiet = now - this->batch.sentAt >= UpdateBatch::Gap;
-    if (this->batch.quiet) {
+    this->batch.isIdle = now - this->batch.sentAt >= UpdateBatch::MinInterval;
+    if (this->batch.isIdle) {
         this->sendBatch();
     }
-    expireLimits(this->limitBook, now);
-    if (!this->limitBook.complete) {
-        noteComplete(this->limitBook, this->allLimitsReported(), now);
+    expireLimits(this->limitAllocator, now);
+    if (!this->limitAllocator.allSharesKnown) {
+        updateAllSharesKnown(this->limitAllocator, this->allLimitsReported(), now);
     }
     this->startRound();
     this->retireLost(now);
-    for (auto &[name, agent] : this->book.agents) {
+    for (auto &[name, agent] : this->agentRegistry.agents) {
         if (agent.session != 0 && !isLost(agent, now)) {
             this->reconcile(agent, now);
             this->retireUnannounced(agent, now);
         }
     }
-    this->endRevokesOfLost(now);
+    this->forceMovesOfLost(now);
     this->planAll(now);
     this->commitReleased(now);
 }
@@ -287,19 +289,19 @@
     return this->leading;
 }
 
-const AgentBook &Coordinator::agents() const
+const AgentRegistry &Coordinator::agents() const
 {
-    return this->book;
+    return this->agentRegistry;
 }
 
-const MoveBook &Coordinator::moves() const
+const MoveTracker &Coordinator::moves() const
 {
-    return this->moveBook;
+    return this->moveTracker;
 }
 
-const LimitBook &Coordinator::limits() const
+const LimitAllocator &Coordinator::limits() const
 {
-    return this->limitBook;
+    return this->limitAllocator;
 }
 
 wire::InForceReport Coordinator::inForce(const wire::Version &version) const
@@ -310,7 +312,7 @@
             expected.insert(upstream.agent());
         }
     }
-    for (const auto &[name, agent] : this->book.agents) {
+    for (const auto &[name, agent] : this->agentRegistry.agents) {
         if (agent.session != 0) {
             expected.insert(name);
         }
@@ -320,8 +322,8 @@
         isBefore(this->state.visibleVersion(), version) ? this->state.visibleVersion() : version;
     wire::InForceReport report;
     for (const std::string &name : expected) {
-        const AgentRecord *const agent = this->book.find(name);
-        const bool reached = agent != nullptr && !isBefore(agent->inForce, needed);
+        const AgentRecord *const agent = this->agentRegistry.find(name);
+        const bool reached = agent != nullptr && !isBefore(agent->appliedVersion, needed);
         *(reached ? report.add_confirmed() : report.add_missing()) = name;
     }
     return report;
@@ -335,8 +337,8 @@
     wire::ControlMessage message;
     *message.mutable_update() = take(this->batch, this->lastTick);
     const auto shared = std::make_shared<const wire::ControlMessage>(std::move(message));
-    for (const auto &[name, agent] : this->book.agents) {
-        if (agent.informed) {
+    for (const auto &[name, agent] : this->agentRegistry.agents) {
+        if (agent.hasFullState) {
             this->actions.emplace_back(SendAction{agent.session, shared});
         }
     }
@@ -355,8 +357,8 @@
 std::uint64_t Coordinator::propose(wire::Command command, Proposal proposal)
 {
     const std::uint64_t name = ++this->lastProposal;
-    if (!proposal.takenFrom.empty()) {
-        ++this->book.get(proposal.takenFrom).takes;
+    if (!proposal.previousAgent.empty()) {
+        ++this->agentRegistry.getOrCreate(proposal.previousAgent).forcedMovesInFlight;
     }
     if (!proposal.upstream.second.empty()) {
         this->upstreamsInFlight.insert(proposal.upstream);
@@ -380,14 +382,14 @@
     this->actions.emplace_back(ConfirmAction{});
 }
 
-void Coordinator::inform(const std::vector<SessionId> &sessions)
+void Coordinator::sendFullState(const std::vector<SessionId> &sessions)
 {
     // The changes that wait are in the full state already. Sent later they change nothing: a batch ends with the
     // newest word on each thing that it names.
     // After a change of leader every agent comes at once: they share one message, not a copy of the state each.
     std::shared_ptr<wire::ControlMessage> message;
     for (const SessionId session : sessions) {
-        AgentRecord *const agent = this->book.bySession(session);
+        AgentRecord *const agent = this->agentRegistry.findBySession(session);
         if (agent == nullptr) {
             continue;
         }
@@ -397,7 +399,7 @@
             message->mutable_update()->mutable_controls()->Assign(this->controls.begin(), this->controls.end());
         }
         this->actions.emplace_back(SendAction{session, message});
-        agent->informed = true;
+        agent->hasFullState = true;
         this->resendRevokes(*agent);
     }
 }
--- a/src/control/CoordinatorAgents.cpp
+++ b/src/control/CoordinatorAgents.cpp
@@ -6,7 +6,7 @@
 
 namespace bergamotweir::control {
 
-bool Coordinator::hasReplaced(const wire::UpstreamInfo &later, const wire::UpstreamInfo &upstream)
+bool Coordinator::replacesUpstream(const wire::UpstreamInfo &later, const wire::UpstreamInfo &upstream)
 {
     return !upstream.address().empty() && later.address() == upstream.address()
            && later.started_unix_ms() > upstream.started_unix_ms();
@@ -15,10 +15,10 @@
 void Coordinator::renew(AgentRecord &agent, const Heartbeat &heartbeat, BootTime now)
 {
     // The full state went ahead, in this round at the latest: an agent must not serve by what it knew before.
-    assert(agent.informed);
+    assert(agent.hasFullState);
     wire::ControlMessage message;
     message.mutable_renewed()->set_sequence(heartbeat.sequence);
-    if (this->mayRenew(agent, now)) {
+    if (this->canRenew(agent, now)) {
         message.mutable_renewed()->set_lease_ms(static_cast<std::uint32_t>(this->settings.lease.count()));
         const BootTime end = heartbeat.arrival + this->settings.lease + this->settings.drift;
         if (!mayHoldLease(agent, now)) {
@@ -31,8 +31,8 @@
     }
     // Shares go to registered agents alone: a later leader must know who may use some.
     if (!this->state.upstreams().ofAgent(agent.name).empty()) {
-        grantShares(this->limitBook,
-                    lifeOf(agent),
+        grantShares(this->limitAllocator,
+                    incarnationIdOf(agent),
                     this->state.tables().table().routes(),
                     heartbeat.arrival,
                     now,
@@ -45,15 +45,16 @@
 {
     const auto &upstreams = this->state.upstreams().all();
     return std::all_of(upstreams.begin(), upstreams.end(), [&](const auto &entry) {
-        const AgentRecord *const agent = this->book.find(entry.second.agent());
-        return agent != nullptr && !agent->unknownPredecessor && isKnown(this->limitBook, lifeOf(*agent));
+        const AgentRecord *const agent = this->agentRegistry.find(entry.second.agent());
+        return agent != nullptr && !agent->hasUnknownPredecessor
+               && isKnown(this->limitAllocator, incarnationIdOf(*agent));
     });
 }
 
-bool Coordinator::mayRenew(const AgentRecord &agent, BootTime now) const
+bool Coordinator::canRenew(const AgentRecord &agent, BootTime now) const
 {
     // Slices are being taken from it: it would go on serving them until it hears of the commit.
-    if (agent.takes > 0 || now < agent.heldUntil) {
+    if (agent.forcedMovesInFlight > 0 || now < agent.leaseBlockedUntil) {
         return false;
     }
     // The log must know which process serves under this name before that process gets a lease: a later leader holds
@@ -61,12 +62,12 @@
     const std::set<std::uint32_t> &own = this->state.upstreams().ofAgent(agent.name);
     return std::all_of(own.begin(), own.end(), [&](std::uint32_t id) {
         const wire::UpstreamInfo &upstream = *this->state.upstreams().find(id);
-        return upstream.agent_incarnation() == agent.incarnation || !this->mattersForLease(upstream);
+        return upstream.agent_incarnation() == agent.incarnation || !this->mustPrecedeLease(upstream);
     });
 }
 
 /** @return false for an upstream that ended and owns nothing any more: no lease stands for it */
-bool Coordinator::mattersForLease(const wire::UpstreamInfo &upstream) const
+bool Coordinator::mustPrecedeLease(const wire::UpstreamInfo &upstream) const
 {
     if (upstream.serving()) {
         return true;
@@ -88,15 +89,15 @@
     agent.announced[{upstream.service(), upstream.name()}] = std::move(upstream);
 }
 
-bool Coordinator::mayMoveHere(const wire::UpstreamInfo &registered, const AgentRecord &agent, BootTime now) const
+bool Coordinator::canMoveToAgent(const wire::UpstreamInfo &registered, const AgentRecord &agent, BootTime now) const
 {
     if (registered.agent() == agent.name) {
         // Until the process before it under this name surely holds no lease, the log goes on naming that one.
-        return registered.agent_incarnation() == agent.incarnation || now >= agent.heldUntil;
+        return registered.agent_incarnation() == agent.incarnation || now >= agent.leaseBlockedUntil;
     }
     // Taking an upstream over from another agent hands on all its slices.
-    const AgentRecord *const other = this->book.find(registered.agent());
-    return other == nullptr || (isLost(*other, now) && now >= other->leaseEnd + this->longestWork(registered));
+    const AgentRecord *const other = this->agentRegistry.find(registered.agent());
+    return other == nullptr || (isLost(*other, now) && now >= other->leaseEnd + this->maxWorkTime(registered));
 }
 
 void Coordinator::reconcile(AgentRecord &agent, BootTime now)
@@ -107,7 +108,7 @@
             continue;
         }
         if (registered != nullptr
-            && (sameAnnouncement(*registered, announced) || !this->mayMoveHere(*registered, agent, now))) {
+            && (sameAnnouncement(*registered, announced) || !this->canMoveToAgent(*registered, agent, now))) {
             continue;
         }
         const bool takenOver = registered != nullptr && registered->agent() != agent.name;
@@ -115,13 +116,13 @@
     }
 }
 
-void Coordinator::proposeUpstream(const wire::UpstreamInfo &upstream, const std::string &takenFrom)
+void Coordinator::proposeUpstream(const wire::UpstreamInfo &upstream, const std::string &previousAgent)
 {
     wire::Command command;
     *command.mutable_put_upstream()->mutable_upstream() = upstream;
     Proposal proposal;
     proposal.upstream = {upstream.service(), upstream.name()};
-    proposal.takenFrom = takenFrom;
+    proposal.previousAgent = previousAgent;
     this->propose(std::move(command), std::move(proposal));
 }
 
@@ -132,7 +133,7 @@
  */
 void Coordinator::retireUnannounced(AgentRecord &agent, BootTime now)
 {
-    if (now < agent.heldUntil) {
+    if (now < agent.leaseBlockedUntil) {
         return;
     }
     for (const std::uint32_t id : this->state.upstreams().ofAgent(agent.name)) {
@@ -143,9 +144,9 @@
             continue;
         }
         const bool replaced = std::any_of(agent.announced.begin(), agent.announced.end(), [&](const auto &entry) {
-            return hasReplaced(entry.second, upstream);
+            return replacesUpstream(entry.second, upstream);
         });
-        if (now < agent.announceBy && !replaced) {
+        if (now < agent.announceDeadline && !replaced) {
             continue;
         }
         upstream.set_serving(false);
@@ -156,7 +157,7 @@
 
 void Coordinator::retireLost(BootTime now)
 {
-    for (const auto &[agentName, agent] : this->book.agents) {
+    for (const auto &[agentName, agent] : this->agentRegistry.agents) {
         if (!isLost(agent, now)) {
             continue;
         }
@@ -172,7 +173,7 @@
     }
 }
 
-std::chrono::nanoseconds Coordinator::longestWork(const wire::UpstreamInfo &upstream) const
+std::chrono::nanoseconds Coordinator::maxWorkTime(const wire::UpstreamInfo &upstream) const
 {
     // An upstream that checks grants refuses what comes after the grant's end; any other may still be running what
     // its agent dispatched just before the lease ended.
