--- a/src/control/CoordinatorMoves.cpp
+++ b/src/control/CoordinatorMoves.cpp
@@ -37,10 +37,10 @@
 {
     std::map<SessionId, wire::ControlMessage> messages;
     for (const SliceName &slice : slices) {
-        const Move &move = this->moveBook.moves.at(slice);
+        const Move &move = this->moveTracker.moves.at(slice);
         const wire::UpstreamInfo *const owner = this->state.upstreams().find(move.from);
-        const AgentRecord *const agent = owner == nullptr ? nullptr : this->book.find(owner->agent());
-        if (agent != nullptr && agent->informed) {
+        const AgentRecord *const agent = owner == nullptr ? nullptr : this->agentRegistry.find(owner->agent());
+        if (agent != nullptr && agent->hasFullState) {
             *messages[agent->session].mutable_revoke()->add_slices() = refTo(slice, move.epoch);
         }
     }
@@ -52,7 +52,7 @@
 void Coordinator::resendRevokes(const AgentRecord &agent)
 {
     std::vector<SliceName> slices;
-    for (const auto &[slice, move] : this->moveBook.moves) {
+    for (const auto &[slice, move] : this->moveTracker.moves) {
         const wire::UpstreamInfo *const owner = this->state.upstreams().find(move.from);
         if (move.phase == MovePhase::Revoking && owner != nullptr && owner->agent() == agent.name) {
             slices.push_back(slice);
@@ -77,34 +77,34 @@
             continue;
         }
         const SliceName name(ref.service(), ref.begin());
-        if (this->moveBook.find(name) == nullptr) {
+        if (this->moveTracker.find(name) == nullptr) {
             // Revoked by a leader that is gone: nobody serves it until it gets a new epoch, its owner or another.
-            this->moveBook.moves[name] = {.epoch = ref.epoch(),
-                                          .from = owner->id(),
-                                          .to = owner->id(),
-                                          .takenFrom = {},
-                                          .notBefore = {},
-                                          .handover = {}};
+            this->moveTracker.moves[name] = {.epoch = ref.epoch(),
+                                             .from = owner->id(),
+                                             .to = owner->id(),
+                                             .previousAgent = {},
+                                             .notBefore = {},
+                                             .handover = {}};
         }
-        Move &move = this->moveBook.moves.at(name);
+        Move &move = this->moveTracker.moves.at(name);
         if (move.phase == MovePhase::Revoking) {
             move.phase = MovePhase::Released;
             move.handover = ref.handover();
             // A restarted agent says Released for what it knows of; its predecessor may have sent more.
-            move.notBefore = agent.started + this->longestWork(*owner);
+            move.notBefore = agent.startedAt + this->maxWorkTime(*owner);
         }
     }
 }
 
-bool Coordinator::isFree(std::uint32_t owner, BootTime now) const
+bool Coordinator::isSafeToReassign(std::uint32_t owner, BootTime now) const
 {
     if (owner == 0) {
         return true;
     }
     const wire::UpstreamInfo *const upstream = this->state.upstreams().find(owner);
     assert(upstream != nullptr);
-    const AgentRecord *const agent = this->book.find(upstream->agent());
-    return agent == nullptr || (isLost(*agent, now) && now >= agent->leaseEnd + this->longestWork(*upstream));
+    const AgentRecord *const agent = this->agentRegistry.find(upstream->agent());
+    return agent == nullptr || (isLost(*agent, now) && now >= agent->leaseEnd + this->maxWorkTime(*upstream));
 }
 
 void Coordinator::planAll(BootTime now)
@@ -121,15 +121,15 @@
 
 std::vector<Member> Coordinator::membersOf(const std::string &service, BootTime now)
 {
-    const std::unordered_map<std::uint32_t, double> speeds = this->loads.speeds(service, now);
+    const std::unordered_map<std::uint32_t, double> relativeSpeeds = this->loads.relativeSpeeds(service, now);
     std::vector<Member> members;
     const std::set<std::uint32_t> &ids = this->state.upstreams().ofService(service);
     members.reserve(ids.size());
     for (const std::uint32_t id : ids) {
         const double weight = this->weightOf(*this->state.upstreams().find(id), now);
         if (weight > 0) {
-            const auto speed = speeds.find(id);
-            members.push_back({id, speed == speeds.end() ? weight : weight * speed->second});
+            const auto speed = relativeSpeeds.find(id);
+            members.push_back({id, speed == relativeSpeeds.end() ? weight : weight * speed->second});
         }
     }
     return members;
@@ -137,19 +137,19 @@
 
 double Coordinator::weightOf(const wire::UpstreamInfo &upstream, BootTime now) const
 {
-    const AgentRecord *const agent = this->book.find(upstream.agent());
-    if (!upstream.serving() || agent == nullptr || !mayHoldLease(*agent, now) || agent->takes > 0) {
+    const AgentRecord *const agent = this->agentRegistry.find(upstream.agent());
+    if (!upstream.serving() || agent == nullptr || !mayHoldLease(*agent, now) || agent->forcedMovesInFlight > 0) {
         return 0;
     }
     const TableHistory &tables = this->state.tables();
     const table::KnownUpstream known{upstream.service(), upstream.failure_domain(), upstream.name()};
-    if (!table::inService(tables.table(), tables.marks(), known)) {
+    if (!table::isInService(tables.table(), tables.marks(), known)) {
         return 0;
     }
     return tables.table().upstream(known.service, known.failureDomain, known.name).weight;
 }
 
-void Coordinator::noteMembers(Watch &watch, const std::vector<Member> &members, BootTime now) const
+void Coordinator::recordMembers(Watch &watch, const std::vector<Member> &members, BootTime now) const
 {
     std::vector<std::uint32_t> ids;
     ids.reserve(members.size());
@@ -159,9 +159,9 @@
     if (ids != watch.memberIds) {
         watch.memberIds = std::move(ids);
         // Load is evened out once a quiet time has passed since then, in which a restarted upstream may have returned.
-        watch.membersChanged = watch.evenAtOnce ? now - this->settings.settle : now;
+        watch.membersChanged = watch.rebalanceAtOnce ? now - this->settings.rebalanceDelay : now;
     }
-    watch.evenAtOnce = false;
+    watch.rebalanceAtOnce = false;
 }
 
 bool Coordinator::proposeSplits(const std::string &service, const SliceMap &map, std::size_t memberCount, BootTime now)
@@ -175,8 +175,8 @@
     const SliceSplits splits = planSplits(map,
                                           memberCount * this->settings.slicesPerUpstream,
                                           this->loads.hotKeys(service, HotKeyPart * rightful, now),
-                                          this->moveBook.begins(service),
-                                          policy.numberedKeys ? KeyGrain : 1);
+                                          this->moveTracker.begins(service),
+                                          policy.numberedKeys ? NumberedKeyWidth : 1);
     if (splits.empty()) {
         return false;
     }
@@ -206,14 +206,14 @@
     slices.reserve(map.slices().size());
     for (const auto &[begin, holding] : map.slices()) {
         LoadedSlice slice{.begin = begin, .owner = holding.owner, .load = 0, .moving = false};
-        if (const Move *const move = this->moveBook.find({service, begin}); move != nullptr) {
+        if (const Move *const move = this->moveTracker.find({service, begin}); move != nullptr) {
             // A target that left is replaced; the revocation stands.
             slice.owner = move->to;
             slice.moving = contains(members, move->to) || move->phase == MovePhase::Committing;
         }
         slices.push_back(slice);
     }
-    this->loads.weigh(service, map, slices);
+    this->loads.distributeLoad(service, map, slices);
     if (members.empty()) {
         // Out of service means no new work, also where nobody is left to take the keys.
         std::vector<SliceMove> moves;
@@ -228,10 +228,10 @@
     const bool fresh = std::all_of(slices.begin(), slices.end(), [](const LoadedSlice &slice) {
         return slice.owner == 0;
     });
-    if (fresh && now < watch.membersChanged + this->settings.gather) {
+    if (fresh && now < watch.membersChanged + this->settings.initialAssignmentDelay) {
         return {};
     }
-    const bool settled = now >= watch.membersChanged + this->settings.settle;
+    const bool settled = now >= watch.membersChanged + this->settings.rebalanceDelay;
     // Before it has settled only orphans move: any imbalance is tolerated.
     constexpr double AnyImbalance = 1e9;
     return assign(members, slices, settled ? this->settings.tolerance : AnyImbalance);
@@ -240,14 +240,14 @@
 std::uint32_t Coordinator::successorOf(std::uint32_t ended, BootTime now) const
 {
     const wire::UpstreamInfo *const before = this->state.upstreams().find(ended);
-    const AgentRecord *const agent = before == nullptr ? nullptr : this->book.find(before->agent());
-    if (agent == nullptr || !agent->informed || !this->settings.addressProvesEnd) {
+    const AgentRecord *const agent = before == nullptr ? nullptr : this->agentRegistry.find(before->agent());
+    if (agent == nullptr || !agent->hasFullState || !this->settings.addressReuseProvesExit) {
         return 0;
     }
     for (const auto &[name, announced] : agent->announced) {
         const wire::UpstreamInfo *const later = this->state.upstreams().find(name.first, name.second);
         const bool fits = later != nullptr && later->service() == before->service() && later->agent() == agent->name;
-        if (fits && hasReplaced(*later, *before) && this->weightOf(*later, now) > 0) {
+        if (fits && replacesUpstream(*later, *before) && this->weightOf(*later, now) > 0) {
             return later->id();
         }
     }
@@ -273,30 +273,30 @@
             continue;
         }
         const SliceName name(service, begin);
-        const Move *const begun = this->moveBook.find(name);
+        const Move *const begun = this->moveTracker.find(name);
         if (begun != nullptr && begun->phase != MovePhase::Revoking) {
             continue;
         }
-        this->moveBook.moves[name] = {.epoch = holding.epoch,
-                                      .from = holding.owner,
-                                      .to = known->second,
-                                      .phase = MovePhase::Released,
-                                      .takenFrom = {},
-                                      .notBefore = {},
-                                      .handover = {}};
+        this->moveTracker.moves[name] = {.epoch = holding.epoch,
+                                         .from = holding.owner,
+                                         .to = known->second,
+                                         .phase = MovePhase::Released,
+                                         .previousAgent = {},
+                                         .notBefore = {},
+                                         .handover = {}};
     }
 }
 
 void Coordinator::planService(const std::string &service, const SliceMap &map, BootTime now)
 {
     Watch &watch = this->watches[service];
-    if (!watch.dirty && now < watch.nextLook) {
+    if (!watch.dirty && now < watch.nextCheckAt) {
         return;
     }
     const std::vector<Member> members = this->membersOf(service, now);
-    this->noteMembers(watch, members, now);
+    this->recordMembers(watch, members, now);
     watch.dirty = false;
-    watch.nextLook = now + this->settings.evenInterval;
+    watch.nextCheckAt = now + this->settings.rebalanceInterval;
     if (this->proposeSplits(service, map, members.size(), now)) {
         // The slices change under the plan; it's made again once they have.
         return;
@@ -305,10 +305,10 @@
     const std::vector<SliceMove> wanted = this->wantedMoves(service, map, members, now);
     if (wanted.empty()) {
         // Nothing to do until it has settled or, later, the loads have drifted; any other change makes it dirty.
-        const BootTime settled = watch.membersChanged + this->settings.settle;
-        const BootTime gathered = watch.membersChanged + this->settings.gather;
-        const BootTime idle = now + this->settings.idleInterval;
-        watch.nextLook = now < gathered ? gathered : now < settled ? settled : idle;
+        const BootTime settled = watch.membersChanged + this->settings.rebalanceDelay;
+        const BootTime gathered = watch.membersChanged + this->settings.initialAssignmentDelay;
+        const BootTime idle = now + this->settings.idleCheckInterval;
+        watch.nextCheckAt = now < gathered ? gathered : now < settled ? settled : idle;
     }
     this->beginMoves(service, map, wanted, members, now);
 }
@@ -319,28 +319,28 @@
                              const std::vector<Member> &members,
                              BootTime now)
 {
-    std::unordered_map<std::uint32_t, std::size_t> busy = this->moveBook.countByUpstream();
+    std::unordered_map<std::uint32_t, std::size_t> busy = this->moveTracker.countByUpstream();
     std::vector<SliceName> revoked;
     for (const SliceMove &want : wanted) {
         const SliceName name(service, want.begin);
         const SliceHolding holding = map.slices().at(want.begin);
-        if (Move *const begun = this->moveBook.find(name); begun != nullptr) {
+        if (Move *const begun = this->moveTracker.find(name); begun != nullptr) {
             begun->to = want.to;
             continue;
         }
-        if (this->isFree(holding.owner, now)) {
-            Move &move = this->moveBook.moves[name];
+        if (this->isSafeToReassign(holding.owner, now)) {
+            Move &move = this->moveTracker.moves[name];
             move = {.epoch = holding.epoch,
                     .from = holding.owner,
                     .to = want.to,
-                    .takenFrom = {},
+                    .previousAgent = {},
                     .notBefore = {},
                     .handover = {}};
-            this->takeFromLost(move);
+            this->forceMove(move);
             continue;
         }
-        const AgentRecord *const agent = this->book.find(this->state.upstreams().find(holding.owner)->agent());
-        if (agent == nullptr || !agent->informed || !mayHoldLease(*agent, now)) {
+        const AgentRecord *const agent = this->agentRegistry.find(this->state.upstreams().find(holding.owner)->agent());
+        if (agent == nullptr || !agent->hasFullState || !mayHoldLease(*agent, now)) {
             continue;
         }
         if (contains(members, holding.owner)) {
@@ -351,28 +351,28 @@
         }
         ++busy[holding.owner];
         ++busy[want.to];
-        this->moveBook.moves[name] = {.epoch = holding.epoch,
-                                      .from = holding.owner,
-                                      .to = want.to,
-                                      .takenFrom = {},
-                                      .notBefore = {},
-                                      .handover = {}};
+        this->moveTracker.moves[name] = {.epoch = holding.epoch,
+                                         .from = holding.owner,
+                                         .to = want.to,
+                                         .previousAgent = {},
+                                         .notBefore = {},
+                                         .handover = {}};
         revoked.push_back(name);
     }
     this->sendRevokes(revoked);
     this->commitReleased(now);
 }
 
-void Coordinator::endRevokesOfLost(BootTime now)
+void Coordinator::forceMovesOfLost(BootTime now)
 {
-    for (auto &[slice, move] : this->moveBook.moves) {
-        if (move.phase == MovePhase::Revoking && this->isFree(move.from, now)) {
-            this->takeFromLost(move);
+    for (auto &[slice, move] : this->moveTracker.moves) {
+        if (move.phase == MovePhase::Revoking && this->isSafeToReassign(move.from, now)) {
+            this->forceMove(move);
         }
     }
 }
 
-void Coordinator::takeFromLost(Move &move)
+void Coordinator::forceMove(Move &move)
 {
     move.phase = MovePhase::Released;
     if (move.from == 0) {
@@ -380,11 +380,11 @@
     }
     // An agent that was frozen may return between this decision and its commit. Renewed before it hears of the commit,
     // it would serve beside the new owner.
-    move.takenFrom = this->state.upstreams().find(move.from)->agent();
-    ++this->book.get(move.takenFrom).takes;
+    move.previousAgent = this->state.upstreams().find(move.from)->agent();
+    ++this->agentRegistry.getOrCreate(move.previousAgent).forcedMovesInFlight;
 }
 
-bool Coordinator::isFitTarget(std::uint32_t upstream, BootTime now) const
+bool Coordinator::canReceiveSlices(std::uint32_t upstream, BootTime now) const
 {
     if (upstream == 0) {
         return true;
@@ -397,11 +397,11 @@
 {
     std::map<std::string, wire::AssignSlices> changes;
     Proposal proposal;
-    for (auto &[slice, move] : this->moveBook.moves) {
+    for (auto &[slice, move] : this->moveTracker.moves) {
         if (move.phase != MovePhase::Released || now < move.notBefore) {
             continue;
         }
-        if (!this->isFitTarget(move.to, now)) {
+        if (!this->canReceiveSlices(move.to, now)) {
             this->watches[slice.first].dirty = true;
             continue;
         }
--- a/src/control/CoordinatorSettings.cpp
+++ b/src/control/CoordinatorSettings.cpp
@@ -22,15 +22,15 @@
     return *this;
 }
 
-CoordinatorSettingsBuilder &CoordinatorSettingsBuilder::settle(std::chrono::milliseconds value)
+CoordinatorSettingsBuilder &CoordinatorSettingsBuilder::rebalanceDelay(std::chrono::milliseconds value)
 {
-    this->settings.settle = value;
+    this->settings.rebalanceDelay = value;
     return *this;
 }
 
-CoordinatorSettingsBuilder &CoordinatorSettingsBuilder::evenInterval(std::chrono::milliseconds value)
+CoordinatorSettingsBuilder &CoordinatorSettingsBuilder::rebalanceInterval(std::chrono::milliseconds value)
 {
-    this->settings.evenInterval = value;
+    this->settings.rebalanceInterval = value;
     return *this;
 }
 
--- a/src/control/LoadBook.cpp
+++ b/src/control/LoadTracker.cpp
@@ -1,4 +1,4 @@
-#include "control/LoadBook.h"
+#include "control/LoadTracker.h"
 
 #include "control/Assignment.h"
 #include "control/SliceMap.h"
@@ -26,7 +26,7 @@
 
 } // namespace
 
-void LoadBook::report(const wire::Renew &renew, BootTime now)
+void LoadTracker::report(const wire::Renew &renew, BootTime now)
 {
     for (const wire::SliceLoad &load : renew.loads()) {
         double &rate = this->services[load.service()].rates[load.begin()];
@@ -45,7 +45,7 @@
     }
     for (const wire::HotKey &key : renew.hot_keys()) {
         Service &service = this->services[key.service()];
-        if (service.hotKeys.size() >= MostHotKeys && !service.hotKeys.contains(key.hash())) {
+        if (service.hotKeys.size() >= MaxHotKeys && !service.hotKeys.contains(key.hash())) {
             service.hotKeys.erase(std::min_element(
                 service.hotKeys.begin(), service.hotKeys.end(), [](const auto &left, const auto &right) {
                     return left.second.rate < right.second.rate;
@@ -55,12 +55,12 @@
     }
 }
 
-std::unordered_map<std::uint32_t, double> LoadBook::speeds(const std::string &service, BootTime now)
+std::unordered_map<std::uint32_t, double> LoadTracker::relativeSpeeds(const std::string &service, BootTime now)
 {
-    std::unordered_map<std::uint32_t, double> speeds;
+    std::unordered_map<std::uint32_t, double> relativeSpeeds;
     const auto found = this->services.find(service);
     if (found == this->services.end()) {
-        return speeds;
+        return relativeSpeeds;
     }
     std::erase_if(found->second.workTimes, [&](const auto &entry) {
         return entry.second.reported + WorkTimeAge < now;
@@ -71,12 +71,14 @@
     }
     const double mean = total / static_cast<double>(found->second.workTimes.size());
     for (const auto &[upstream, time] : found->second.workTimes) {
-        speeds[upstream] = std::clamp(1 / time.seconds / mean, SlowestShare, FastestShare);
+        relativeSpeeds[upstream] = std::clamp(1 / time.seconds / mean, SlowestShare, FastestShare);
     }
-    return speeds;
+    return relativeSpeeds;
 }
 
-void LoadBook::weigh(const std::string &service, const SliceMap &map, std::vector<LoadedSlice> &slices) const
+void LoadTracker::distributeLoad(const std::string &service,
+                                 const SliceMap &map,
+                                 std::vector<LoadedSlice> &slices) const
 {
     const auto found = this->services.find(service);
     double total = 0;
@@ -94,7 +96,7 @@
     }
 }
 
-std::vector<std::uint64_t> LoadBook::hotKeys(const std::string &service, double share, BootTime now) const
+std::vector<std::uint64_t> LoadTracker::hotKeys(const std::string &service, double share, BootTime now) const
 {
     std::vector<std::uint64_t> hot;
     const auto found = this->services.find(service);
@@ -113,12 +115,12 @@
     return hot;
 }
 
-void LoadBook::clear()
+void LoadTracker::clear()
 {
     this->services.clear();
 }
 
-double LoadBook::totalRate(const Service &service) const
+double LoadTracker::totalRate(const Service &service) const
 {
     double total = 0;
     for (const auto &[begin, rate] : service.rates) {
--- a/src/control/MoveBook.cpp
+++ b/src/control/MoveTracker.cpp
@@ -1,14 +1,14 @@
-#include "control/MoveBook.h"
+#include "control/MoveTracker.h"
 
 namespace bergamotweir::control {
 
-Move *MoveBook::find(const SliceName &slice)
+Move *MoveTracker::find(const SliceName &slice)
 {
     const auto found = this->moves.find(slice);
     return found == this->moves.end() ? nullptr : &found->second;
 }
 
-std::unordered_map<std::uint32_t, std::size_t> MoveBook::countByUpstream() const
+std::unordered_map<std::uint32_t, std::size_t> MoveTracker::countByUpstream() const
 {
     std::unordered_map<std::uint32_t, std::size_t> counts;
     for (const auto &[slice, move] : this->moves) {
@@ -18,7 +18,7 @@
     return counts;
 }
 
-std::set<std::uint64_t> MoveBook::begins(const std::string &service) const
+std::set<std::uint64_t> MoveTracker::begins(const std::string &service) const
 {
     std::set<std::uint64_t> found;
     for (auto move = this->moves.lower_bound({service, 0}); move != this->moves.end(); ++move) {
--- a/src/control/OperatorReads.cpp
+++ b/src/control/OperatorReads.cpp
@@ -54,7 +54,7 @@
     }
     wire::OwnerReport &owner = *reply.mutable_owner();
     const bool numbered = state.tables().table().service(request.service()).numberedKeys;
-    owner.set_hash(numbered ? placeOfKey(std::strtoull(request.key().c_str(), nullptr, 10) % NumberedKeys)
+    owner.set_hash(numbered ? hashOfNumberedKey(std::strtoull(request.key().c_str(), nullptr, 10) % NumberedKeyCount)
                             : hashKey(request.key()));
     *owner.mutable_slice() = toWire(service->second.at(owner.hash()));
     if (const wire::UpstreamInfo *const upstream = state.upstreams().find(owner.slice().owner()); upstream != nullptr) {
@@ -112,7 +112,7 @@
         const AgentRecord *const agent = coordinator.agents().find(upstream.agent());
         if (agent != nullptr) {
             status.set_lease_valid(mayHoldLease(*agent, now));
-            *status.mutable_in_force() = agent->inForce;
+            *status.mutable_in_force() = agent->appliedVersion;
         }
     }
     for (const std::uint64_t fingerprint : state.quarantine().quarantined()) {
@@ -159,7 +159,7 @@
     std::size_t behind = 0;
     for (const auto &[name, agent] : coordinator.agents().agents) {
         leases += mayHoldLease(agent, now) ? 1 : 0;
-        behind += isBefore(agent.inForce, state.visibleVersion()) ? 1 : 0;
+        behind += isBefore(agent.appliedVersion, state.visibleVersion()) ? 1 : 0;
     }
     const auto line = [](const std::string &name, std::uint64_t value) {
         return "# TYPE bergamotweir_control_" + name + " gauge\nbergamotweir_control_" + name + " "
--- a/src/control/QuarantineStore.cpp
+++ b/src/control/QuarantineStore.cpp
@@ -88,7 +88,7 @@
 
 void QuarantineStore::makeRoom()
 {
-    if (this->suspects.size() < MostSuspects) {
+    if (this->suspects.size() < MaxSuspects) {
         return;
     }
     const auto older = [](const auto &left, const auto &right) {
--- a/src/control/RouteBook.cpp
+++ b/src/control/RouteStore.cpp
@@ -1,4 +1,4 @@
-#include "control/RouteBook.h"
+#include "control/RouteStore.h"
 
 #include "table/KeyDigest.h"
 #include "table/RouteTable.h"
@@ -25,7 +25,7 @@
 
 } // namespace
 
-wire::OperatorReply RouteBook::put(const wire::PutRoutes &change)
+wire::OperatorReply RouteStore::put(const wire::PutRoutes &change)
 {
     if (const auto known = this->revisionByHash.find(change.content_hash()); known != this->revisionByHash.end()) {
         return reply(wire::OPERATOR_STATUS_DONE, known->second);
@@ -42,7 +42,7 @@
     }
     Findings findings = table::digestKeys(changed, changed.digest_key());
     wire::RouteTable wanted = change.partial() ? table::merged(this->current, digested) : changed;
-    for (Finding &finding : table::findingsIn(wanted)) {
+    for (Finding &finding : table::validateRoutes(wanted)) {
         findings.push_back(std::move(finding));
     }
     if (wanted.revision() <= this->current.revision()) {
@@ -60,12 +60,12 @@
     return reply(wire::OPERATOR_STATUS_DONE, this->current.revision());
 }
 
-const wire::RouteTable &RouteBook::routes() const
+const wire::RouteTable &RouteStore::routes() const
 {
     return this->current;
 }
 
-void RouteBook::save(wire::StateSnapshot &to) const
+void RouteStore::save(wire::StateSnapshot &to) const
 {
     *to.mutable_routes() = this->current;
     for (const wire::AcceptedRoutes &one : this->accepted) {
@@ -73,23 +73,23 @@
     }
 }
 
-void RouteBook::restore(const wire::StateSnapshot &from)
+void RouteStore::restore(const wire::StateSnapshot &from)
 {
-    *this = RouteBook();
+    *this = RouteStore();
     this->current = from.routes();
     for (const wire::AcceptedRoutes &one : from.accepted_routes()) {
         this->remember(one.content_hash(), one.revision());
     }
 }
 
-void RouteBook::remember(std::uint64_t contentHash, std::uint64_t revision)
+void RouteStore::remember(std::uint64_t contentHash, std::uint64_t revision)
 {
     wire::AcceptedRoutes one;
     one.set_content_hash(contentHash);
     one.set_revision(revision);
     this->accepted.push_back(one);
     this->revisionByHash[contentHash] = revision;
-    if (this->accepted.size() > MostAccepted) {
+    if (this->accepted.size() > MaxAccepted) {
         this->revisionByHash.erase(this->accepted.front().content_hash());
         this->accepted.pop_front();
     }
--- a/src/control/SliceMap.cpp
+++ b/src/control/SliceMap.cpp
@@ -13,7 +13,7 @@
 
 } // namespace
 
-SliceMap SliceMap::even(std::size_t count, std::uint64_t grain)
+SliceMap SliceMap::uniform(std::size_t count, std::uint64_t grain)
 {
     assert(count > 0 && grain > 0);
     SliceMap map;
--- a/src/control/SliceSplits.cpp
+++ b/src/control/SliceSplits.cpp
@@ -99,11 +99,11 @@
                        std::uint64_t grain)
 {
     SliceSplits splits;
-    if (map.slices().size() < std::min(wanted, MostSlices)) {
+    if (map.slices().size() < std::min(wanted, MaxSlices)) {
         halveWidest(map, moving, grain, splits);
         return splits;
     }
-    if (map.slices().size() + 2 * hot.size() <= MostSlices) {
+    if (map.slices().size() + 2 * hot.size() <= MaxSlices) {
         for (const std::uint64_t hash : hot) {
             isolate(map, hash, moving, grain, splits);
         }
--- a/src/control/State.cpp
+++ b/src/control/State.cpp
@@ -20,8 +20,8 @@
 
 } // namespace
 
-State::State(std::size_t mostClaims)
-    : claimStore(mostClaims)
+State::State(std::size_t maxClaims)
+    : claimStore(maxClaims)
 {
 }
 
@@ -115,8 +115,8 @@
         if (!policy.keyed || this->sliceMaps.contains(service)) {
             continue;
         }
-        const std::uint64_t grain = policy.numberedKeys ? KeyGrain : 1;
-        const auto added = this->sliceMaps.emplace(service, SliceMap::even(FirstSlices, grain)).first;
+        const std::uint64_t grain = policy.numberedKeys ? NumberedKeyWidth : 1;
+        const auto added = this->sliceMaps.emplace(service, SliceMap::uniform(InitialSlices, grain)).first;
         saveSlices(service, added->second, *applied.update.add_services());
     }
 }
@@ -207,7 +207,7 @@
     this->registry.restore(saved);
     this->sliceMaps.clear();
     for (const wire::ServiceSlices &service : saved.services()) {
-        this->sliceMaps.emplace(service.service(), SliceMap::even(1)).first->second.restore(service);
+        this->sliceMaps.emplace(service.service(), SliceMap::uniform(1)).first->second.restore(service);
     }
     this->claimStore.restore(saved);
     this->quarantineStore.restore(saved);
--- a/src/control/TableHistory.cpp
+++ b/src/control/TableHistory.cpp
@@ -100,10 +100,10 @@
 
 wire::OperatorReply TableHistory::putRoutes(const wire::Version &version, const wire::PutRoutes &change)
 {
-    const std::uint64_t before = this->routeBook.routes().revision();
-    wire::OperatorReply reply = this->routeBook.put(change);
-    if (this->routeBook.routes().revision() != before) {
-        this->current = this->current.withRoutes(table::RouteTable(this->routeBook.routes()));
+    const std::uint64_t before = this->routeStore.routes().revision();
+    wire::OperatorReply reply = this->routeStore.put(change);
+    if (this->routeStore.routes().revision() != before) {
+        this->current = this->current.withRoutes(table::RouteTable(this->routeStore.routes()));
     }
     *reply.mutable_version() = version;
     return reply;
@@ -111,7 +111,7 @@
 
 const wire::RouteTable &TableHistory::routes() const
 {
-    return this->routeBook.routes();
+    return this->routeStore.routes();
 }
 
 wire::OperatorReply TableHistory::mark(const wire::Version &version, const wire::Mark &change)
@@ -166,10 +166,11 @@
     return found == this->tables.end() ? nullptr : &*found;
 }
 
-std::vector<wire::HistoryEntry> TableHistory::history(std::size_t most) const
+std::vector<wire::HistoryEntry> TableHistory::history(std::size_t maxEntries) const
 {
     std::vector<wire::HistoryEntry> entries;
-    for (auto record = this->changes.rbegin(); record != this->changes.rend() && entries.size() < most; ++record) {
+    for (auto record = this->changes.rbegin(); record != this->changes.rend() && entries.size() < maxEntries;
+         ++record) {
         entries.push_back(record->entry());
     }
     return entries;
@@ -199,7 +200,7 @@
     for (const wire::ChangeRecord &record : this->changes) {
         *to.add_changes() = record;
     }
-    this->routeBook.save(to);
+    this->routeStore.save(to);
     for (const std::string &name : this->marked.failureDomainsOut) {
         to.add_failure_domains_out(name);
     }
@@ -223,8 +224,8 @@
         assert(parsed.has_value());
         this->current = std::move(parsed).value();
     }
-    this->routeBook.restore(from);
-    this->current = this->current.withRoutes(table::RouteTable(this->routeBook.routes()));
+    this->routeStore.restore(from);
+    this->current = this->current.withRoutes(table::RouteTable(this->routeStore.routes()));
 }
 
 bool TableHistory::answerResend(const std::string &changeId, std::uint64_t content, wire::OperatorReply &reply) const
@@ -254,7 +255,7 @@
     record.mutable_entry()->set_change_id(record.change_id());
     this->byId[record.change_id()] = this->dropped + this->changes.size();
     this->changes.push_back(std::move(record));
-    if (this->changes.size() > MostChanges) {
+    if (this->changes.size() > MaxChanges) {
         this->byId.erase(this->changes.front().change_id());
         this->changes.pop_front();
         ++this->dropped;
@@ -267,7 +268,7 @@
     for (const wire::TableText &text : this->tables) {
         bytes += text.csv().size();
     }
-    while (this->tables.size() > 1 && (this->tables.size() > MostTables || bytes > MostTableBytes)) {
+    while (this->tables.size() > 1 && (this->tables.size() > MaxTables || bytes > MaxStoredTableBytes)) {
         bytes -= this->tables.front().csv().size();
         this->tables.pop_front();
     }
@@ -282,11 +283,11 @@
                                         {place, "version " + newest + " by " + by + " won", "--base " + newest});
     reply.set_table_version(this->tableVersion());
     const std::vector<table::RowDifference> differing = table::differences(this->current, wanted);
-    for (std::size_t row = 0; row < std::min(differing.size(), MostNamedRows); ++row) {
+    for (std::size_t row = 0; row < std::min(differing.size(), MaxNamedRows); ++row) {
         addFinding(reply, {"differing row", table::toText(differing[row]), {}});
     }
-    if (differing.size() > MostNamedRows) {
-        addFinding(reply, {"differing row", std::to_string(differing.size() - MostNamedRows) + " more differ", {}});
+    if (differing.size() > MaxNamedRows) {
+        addFinding(reply, {"differing row", std::to_string(differing.size() - MaxNamedRows) + " more differ", {}});
     }
     return reply;
 }
--- a/src/control/UpdateBatch.cpp
+++ b/src/control/UpdateBatch.cpp
@@ -51,7 +51,7 @@
 wire::StateUpdate take(UpdateBatch &batch, BootTime now)
 {
     batch.empty = true;
-    batch.quiet = false;
+    batch.isIdle = false;
     batch.sentAt = now;
     return std::exchange(batch.pending, {});
 }
--- a/src/disk/Storage.cpp
+++ b/src/disk/Storage.cpp
@@ -248,7 +248,7 @@
         const std::lock_guard guard(this->mutex);
         this->counters.syncs++;
         this->counters.syncTime += took;
-        this->counters.longestSync = std::max(this->counters.longestSync, took);
+        this->counters.maxSyncTime = std::max(this->counters.maxSyncTime, took);
         return error;
     };
 }
--- a/src/loop/Log.cpp
+++ b/src/loop/Log.cpp
@@ -178,8 +178,8 @@
     if (!isWritten(level)) {
         return {};
     }
-    const std::optional<std::uint64_t> leftOut = allow(site, bound);
-    return leftOut ? LogEvent(level, this->part, name, *leftOut) : LogEvent();
+    const std::optional<std::uint64_t> suppressed = allow(site, bound);
+    return suppressed ? LogEvent(level, this->part, name, *suppressed) : LogEvent();
 }
 
 void Log::write(LogLevel level, std::string_view message, const LogSite &site) const
@@ -187,9 +187,9 @@
     if (!isWritten(level)) {
         return;
     }
-    const std::optional<std::uint64_t> leftOut = allow(site, LogLimiter::Bound{});
-    if (leftOut) {
-        LogEvent(level, this->part, "message", *leftOut).with("message", message.substr(0, MaxMessageLength));
+    const std::optional<std::uint64_t> suppressed = allow(site, LogLimiter::Bound{});
+    if (suppressed) {
+        LogEvent(level, this->part, "message", *suppressed).with("message", message.substr(0, MaxMessageLength));
     }
 }
 
--- a/src/loop/LogEvent.cpp
+++ b/src/loop/LogEvent.cpp
@@ -27,14 +27,14 @@
 
 } // namespace
 
-LogEvent::LogEvent(LogLevel level, const char *part, std::string_view name, std::uint64_t leftOut)
+LogEvent::LogEvent(LogLevel level, const char *part, std::string_view name, std::uint64_t suppressed)
     : written(true)
     , level(level)
     , line(lineStart(level, part))
 {
     this->with("event", name);
-    if (leftOut > 0) {
-        this->with("left_out", leftOut);
+    if (suppressed > 0) {
+        this->with("left_out", suppressed);
     }
 }
 
--- a/src/loop/LogLimiter.cpp
+++ b/src/loop/LogLimiter.cpp
@@ -11,12 +11,12 @@
         allowance.start = now;
         allowance.written = 0;
     }
-    if (allowance.written >= bound.most) {
-        ++allowance.leftOut;
+    if (allowance.written >= bound.maxMessages) {
+        ++allowance.suppressed;
         return std::nullopt;
     }
     ++allowance.written;
-    return std::exchange(allowance.leftOut, 0);
+    return std::exchange(allowance.suppressed, 0);
 }
 
 } // namespace bergamotweir::loop
--- a/src/net/CallResult.cpp
+++ b/src/net/CallResult.cpp
@@ -2,22 +2,22 @@
 
 namespace bergamotweir::net {
 
-const char *toText(CallEnd end)
+const char *toText(CallOutcome outcome)
 {
-    switch (end) {
-    case CallEnd::Answered:
+    switch (outcome) {
+    case CallOutcome::Answered:
         return "answered";
-    case CallEnd::NotSent:
+    case CallOutcome::NotSent:
         return "not sent";
-    case CallEnd::Broken:
+    case CallOutcome::ConnectionLost:
         return "broken";
-    case CallEnd::ShortAnswer:
+    case CallOutcome::TruncatedAnswer:
         return "short answer";
-    case CallEnd::TooLarge:
+    case CallOutcome::TooLarge:
         return "too large";
-    case CallEnd::TimedOut:
+    case CallOutcome::TimedOut:
         return "timed out";
-    case CallEnd::Cancelled:
+    case CallOutcome::Cancelled:
         return "cancelled";
     }
     return "unknown";
--- a/src/net/ClientCall.cpp
+++ b/src/net/ClientCall.cpp
@@ -106,11 +106,11 @@
  */
 bool isForeign(const ClientCall &call)
 {
-    if (call.call.echoed.name.empty()) {
+    if (call.call.expectedEcho.name.empty()) {
         return false;
     }
-    const std::string *echo = findHeader(call.answer.headers, call.call.echoed.name);
-    return echo != nullptr && *echo != call.call.echoed.value;
+    const std::string *echo = findHeader(call.answer.headers, call.call.expectedEcho.name);
+    return echo != nullptr && *echo != call.call.expectedEcho.value;
 }
 
 std::size_t onHeader(char *data, std::size_t, std::size_t size, void *user)
@@ -150,7 +150,7 @@
 std::size_t onBody(char *data, std::size_t, std::size_t size, void *user)
 {
     auto &call = *static_cast<ClientCall *>(user);
-    if (call.answer.body.size() + size > call.call.maxAnswer) {
+    if (call.answer.body.size() + size > call.call.maxAnswerBytes) {
         call.tooLarge = true;
         return 0;
     }
@@ -194,7 +194,7 @@
             list = curl_slist_append(list, (std::string(name) + ":").c_str());
         }
     }
-    list = curl_slist_append(list, http.awaitContinue ? "Expect: 100-continue" : "Expect:");
+    list = curl_slist_append(list, http.expectContinue ? "Expect: 100-continue" : "Expect:");
     return list;
 }
 
@@ -224,26 +224,26 @@
         }
     }
     if (!chunked && length == nullptr) {
-        return call.call.untilClose;
+        return call.call.readUntilClose;
     }
     return chunked != (length != nullptr);
 }
 
-CallEnd endOf(const ClientCall &call, CURLcode code)
+CallOutcome endOf(const ClientCall &call, CURLcode code)
 {
     if (call.tooLarge) {
-        return CallEnd::TooLarge;
+        return CallOutcome::TooLarge;
     }
     if (!call.sent) {
-        return CallEnd::NotSent;
+        return CallOutcome::NotSent;
     }
     if (code == CURLE_OPERATION_TIMEDOUT) {
-        return CallEnd::TimedOut;
+        return CallOutcome::TimedOut;
     }
     if (!call.headerComplete || call.foreign) {
-        return CallEnd::Broken;
+        return CallOutcome::ConnectionLost;
     }
-    return code == CURLE_OK && isFramed(call) ? CallEnd::Answered : CallEnd::ShortAnswer;
+    return code == CURLE_OK && isFramed(call) ? CallOutcome::Answered : CallOutcome::TruncatedAnswer;
 }
 
 } // namespace
@@ -277,10 +277,10 @@
     curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, onBody);
     curl_easy_setopt(easy, CURLOPT_WRITEDATA, &call);
     curl_easy_setopt(easy, CURLOPT_PRIVATE, &call);
-    if (http.awaitContinue) {
+    if (http.expectContinue) {
         curl_easy_setopt(easy, CURLOPT_EXPECT_100_TIMEOUT_MS, toMilliseconds(http.timeout));
     }
-    if (http.freshConnection) {
+    if (http.needsNewConnection) {
         curl_easy_setopt(easy, CURLOPT_FRESH_CONNECT, 1L);
         curl_easy_setopt(easy, CURLOPT_FORBID_REUSE, 1L);
     }
@@ -292,10 +292,10 @@
 CallResult conclude(ClientCall &call, CURLcode code)
 {
     CallResult result;
-    result.end = endOf(call, code);
+    result.outcome = endOf(call, code);
     result.mayHaveRun = call.sent;
     result.elapsed = BootClock::now() - call.begun;
-    if (result.end == CallEnd::Answered) {
+    if (result.outcome == CallOutcome::Answered) {
         const bool head = call.call.method == "HEAD";
         std::erase_if(call.answer.headers, [&](const Header &header) {
             const bool keep = head && strcasecmp(header.name.c_str(), "Content-Length") == 0;
--- a/src/net/HttpClient.cpp
+++ b/src/net/HttpClient.cpp
@@ -184,7 +184,7 @@
     const std::unique_ptr<ClientCall> call = std::move(this->cancelled.back());
     this->cancelled.pop_back();
     CallResult result;
-    result.end = CallEnd::Cancelled;
+    result.outcome = CallOutcome::Cancelled;
     result.mayHaveRun = call->sent;
     result.elapsed = BootClock::now() - call->begun;
     call->done(std::move(result));
@@ -292,13 +292,13 @@
 bool HttpClient::Parts::sendFresh(ClientCall &call)
 {
     call.staleConnection = false;
-    if (call.call.freshConnection) {
+    if (call.call.needsNewConnection) {
         return false;
     }
     curl_multi_remove_handle(this->multi, call.easy);
     curl_easy_setopt(call.easy, CURLOPT_FRESH_CONNECT, 1L);
     setTimeouts(call);
-    call.call.freshConnection = true;
+    call.call.needsNewConnection = true;
     curl_multi_add_handle(this->multi, call.easy);
     this->arm();
     return true;
--- a/src/process/AgentMetrics.cpp
+++ b/src/process/AgentMetrics.cpp
@@ -48,7 +48,7 @@
     /** @return the name itself while there is room for another series, "other" afterwards */
     static std::string bounded(std::set<std::string> &known, const std::string &name)
     {
-        if (known.contains(name) || known.size() < MostNames) {
+        if (known.contains(name) || known.size() < MaxNames) {
             known.insert(name);
             return name;
         }
--- a/src/process/AgentMetrics.h
+++ b/src/process/AgentMetrics.h
@@ -24,7 +24,7 @@
 
 /**
  * Counters and latency histograms of an agent, in the Prometheus text format.
- * The number of series is bounded: by the routes and services of the table, of which the first MostNames have a name of
+ * The number of series is bounded: by the routes and services of the table, of which the first MaxNames have a name of
  * their own and the others share one; no series is made for a key or a request.
  * Owned by AgentProcess; used on the loop's thread.
  */
@@ -32,7 +32,7 @@
 {
 public:
     /** Names of routes, and of services, that have series of their own. */
-    static constexpr std::size_t MostNames = 64;
+    static constexpr std::size_t MaxNames = 64;
 
     AgentMetrics();
     ~AgentMetrics();
--- a/src/process/AgentProcess.cpp
+++ b/src/process/AgentProcess.cpp
@@ -71,7 +71,7 @@
         return "cold";
     }
     // Trusted with less than half of what it announced.
-    return 2 * agent::allowed(limit) < limit.ceiling ? "slow" : "warm";
+    return 2 * agent::allowedConcurrency(limit) < limit.ceiling ? "slow" : "warm";
 }
 
 net::HttpAnswer textAnswer(int status, const char *type, std::string body)
@@ -105,7 +105,7 @@
 {
     this->state.settings = settings;
     this->state.protocol = settings.protocol == nullptr ? &ownProtocol() : settings.protocol;
-    this->state.ownership.upstreamsHold = this->state.protocol->byHeartbeat;
+    this->state.ownership.upstreamsHoldGrants = this->state.protocol->usesHeartbeats;
     this->state.random.seed(chooseSeed(settings));
     this->state.startedAt = BootClock::now();
     this->state.limits.bounds = settings.limitBounds;
@@ -144,7 +144,7 @@
         on(settings.announceAddress, settings.announcePort).maxBodyBytes(MaxAnnouncement),
         "--announce-port",
         [this](const std::shared_ptr<net::Exchange> &exchange) {
-            if (this->state.protocol->byHeartbeat) {
+            if (this->state.protocol->usesHeartbeats) {
                 this->heartbeat(exchange);
             } else {
                 this->announce(exchange);
@@ -185,7 +185,7 @@
         this->stateChanged();
     };
     events.revoked = [this](const wire::Revoke &order) {
-        if (this->state.protocol->byHeartbeat) {
+        if (this->state.protocol->usesHeartbeats) {
             this->sendGrants();
             return;
         }
@@ -197,7 +197,7 @@
         this->metrics.keysMoved(slices);
     };
     events.renewed = [this] {
-        if (this->state.protocol->byHeartbeat) {
+        if (this->state.protocol->usesHeartbeats) {
             this->sendGrants();
             return;
         }
@@ -222,11 +222,11 @@
     needs.demandRose = [this] {
         this->control->reportDemand();
     };
-    needs.ended = [this](const RequestEndNote &note) {
+    needs.ended = [this](const RequestSummary &note) {
         this->report.ended(note);
     };
-    this->loop.after(this->state.settings.predecessorGrants, [this] {
-        this->state.ownership.grantsOfPredecessorEnded = true;
+    this->loop.after(this->state.settings.predecessorGrantTime, [this] {
+        this->state.ownership.predecessorGrantsExpired = true;
         this->control->tellReleased();
     });
     this->runner = std::make_unique<RequestRunner>(this->loop, this->state, std::move(needs));
@@ -289,7 +289,7 @@
 void AgentProcess::sendGrants()
 {
     for (const auto &[name, upstream] : this->upstreams) {
-        if (this->state.protocol->byHeartbeat) {
+        if (this->state.protocol->usesHeartbeats) {
             upstream->lookAtGrants();
         } else {
             upstream->sendGrants();
@@ -335,7 +335,7 @@
 {
     nlohmann::json health = {{"agent", this->state.settings.agentName},
                              {"control_session", this->control->isOpen()},
-                             {"lease", agent::holds(this->state.lease, BootClock::now())},
+                             {"lease", agent::isValidAt(this->state.lease, BootClock::now())},
                              {"table_version", this->state.map.tableVersion},
                              {"in_progress", this->runner->inProgress()},
                              {"stopping", this->state.stopping}};
@@ -344,7 +344,7 @@
                                        {"name", name.second},
                                        {"serving", upstream->status() == UpstreamStatus::Serving},
                                        {"in_progress", upstream->inProgress()},
-                                       {"allowed", agent::allowed(upstream->limit())},
+                                       {"allowed", agent::allowedConcurrency(upstream->limit())},
                                        {"condition", conditionOf(upstream->limit())},
                                        {"load", upstream->load()}});
     }
@@ -372,7 +372,7 @@
     }
     return {gauge("bergamotweir_lease_valid",
                   "1 while this agent may give orders to its upstreams.",
-                  agent::holds(this->state.lease, BootClock::now()) ? 1 : 0),
+                  agent::isValidAt(this->state.lease, BootClock::now()) ? 1 : 0),
             gauge("bergamotweir_table_version",
                   "Table version that this agent acts on.",
                   static_cast<double>(this->state.map.tableVersion)),
@@ -423,7 +423,7 @@
     }
     const BootTime now = BootClock::now();
     const auto stoppingFor = now - this->stoppingSince;
-    if (this->leftSince == BootTime() && (this->hasLeft() || stoppingFor > this->state.settings.longestHandOver)) {
+    if (this->leftSince == BootTime() && (this->hasLeft() || stoppingFor > this->state.settings.maxHandoverTime)) {
         Log.info(this->hasLeft() ? "stopping: out of the routing" : "stopping: control not reached");
         this->leftSince = now;
     }
@@ -437,7 +437,7 @@
     for (const auto &[name, upstream] : this->upstreams) {
         inProgress += upstream->inProgress();
     }
-    if (inProgress == 0 || stoppingFor > this->state.settings.longestStop) {
+    if (inProgress == 0 || stoppingFor > this->state.settings.maxStopTime) {
         Log.info("stopped, " + std::to_string(inProgress) + " requests in progress");
         // Guards against requests that are taken and never read. They show as connections that end without an answer
         // in the part of a second that it takes to end everything else; closed now, they end between two requests.
--- a/src/process/AgentProcessUpstreams.cpp
+++ b/src/process/AgentProcessUpstreams.cpp
@@ -51,7 +51,7 @@
     }
     Heartbeat heartbeat = read.value();
     LocalUpstream *upstream = this->upstreamOfInstance(heartbeat.announcement.instance);
-    if (heartbeat.farewell) {
+    if (heartbeat.isDeregistration) {
         if (upstream != nullptr) {
             heartbeat.announcement = upstream->announcement();
             heartbeat.sequence = std::numeric_limits<std::uint64_t>::max();
--- a/src/process/AgentReport.cpp
+++ b/src/process/AgentReport.cpp
@@ -15,7 +15,7 @@
 constexpr int UpstreamFailed = 502;
 constexpr int DeadlinePassed = 504;
 
-report::Outcome outcomeOf(const RequestEndNote &note)
+report::Outcome outcomeOf(const RequestSummary &note)
 {
     if (!note.refused) {
         return note.status >= FirstServerError ? report::Outcome::Failed : report::Outcome::Answered;
@@ -51,10 +51,10 @@
     report::setObjectives(this->burn, this->state.table);
 }
 
-void AgentReport::ended(const RequestEndNote &note)
+void AgentReport::ended(const RequestSummary &note)
 {
     const wire::UpstreamInfo *upstream = agent::findUpstream(this->state.map, note.upstream);
-    report::RequestEnd end;
+    report::CompletedRequest end;
     end.service = note.service;
     if (upstream != nullptr) {
         end.upstream = upstream->name();
--- a/src/process/AgentReport.h
+++ b/src/process/AgentReport.h
@@ -25,7 +25,7 @@
     void tableChanged();
 
     /** Counts the end of a caller's request. */
-    void ended(const RequestEndNote &note);
+    void ended(const RequestSummary &note);
 
     /**
      * @param target path and query
--- a/src/process/AgentState.h
+++ b/src/process/AgentState.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "agent/CrashWatch.h"
+#include "agent/CrashTracker.h"
 #include "agent/Lease.h"
 #include "agent/LimitShares.h"
 #include "agent/LoadSketch.h"
@@ -31,7 +31,7 @@
     table::Table table;
     agent::Lease lease;
     agent::Ownership ownership;
-    agent::CrashWatch crashes;
+    agent::CrashTracker crashes;
     agent::LoadSketch load;
     agent::LimitShares limits;
     std::map<std::string, ServiceState, std::less<>> services;
@@ -58,9 +58,10 @@
         return found->second;
     }
     ServiceState &added = state.services[name];
-    added.retries = {
-        .ratio = state.settings.retryRatio, .most = state.settings.mostRetries, .tokens = state.settings.mostRetries};
-    added.routing.localUntilLoad = state.settings.localUntilLoad;
+    added.retries = {.ratio = state.settings.retryRatio,
+                     .maxTokens = state.settings.maxRetryTokens,
+                     .tokens = state.settings.maxRetryTokens};
+    added.routing.maxLocalLoad = state.settings.maxLocalLoad;
     return added;
 }
 
--- a/src/process/BodyIntake.cpp
+++ b/src/process/BodyIntake.cpp
@@ -42,16 +42,16 @@
     }
     const ParsedRequest &request = std::get<ParsedRequest>(read);
     const agent::BodyId id = ++this->lastId;
-    const LocalUpstream *upstream = this->localUpstream(request.wantedUpstream);
-    agent::Admission admission = upstream == nullptr
-                                     ? agent::Admission::NotServing
-                                     : upstream->outlook({id, request.facts.deadline, request.facts.urgency});
+    const LocalUpstream *upstream = this->localUpstream(request.requestedUpstream);
+    agent::Admission admission =
+        upstream == nullptr ? agent::Admission::NotServing
+                            : upstream->previewAdmission({id, request.facts.deadline, request.facts.queuePriority});
     if (admission == agent::Admission::Admitted || admission == agent::Admission::Queued) {
-        const BootTime wanted = std::min(request.facts.urgency.orderBy, request.facts.deadline);
+        const BootTime wanted = std::min(request.facts.queuePriority.targetDeadline, request.facts.deadline);
         const agent::AnnouncedBody announced{id, body->length(), wanted - upstream->meanServiceTime()};
-        admission = agent::arrive(this->queue, announced, now);
+        admission = agent::requestAdmission(this->queue, announced, now);
     }
-    Log.event(loop::LogLevel::Info, "body announced", loop::OrdinaryBound)
+    Log.event(loop::LogLevel::Info, "body announced", loop::RoutineBound)
         .with("request", request.requestId)
         .with("bytes", static_cast<std::uint64_t>(body->length()))
         .with("receiving", static_cast<std::uint64_t>(this->queue.receiving.size()))
@@ -67,11 +67,11 @@
         this->lookAgain();
         break;
     case agent::Admission::NotServing:
-        return this->refusal(agent::AttemptEnd::NotOwner);
-    case agent::Admission::NoRoom:
-        return this->refusal(agent::AttemptEnd::NoRoom);
+        return this->refusal(agent::AttemptOutcome::NotOwner);
+    case agent::Admission::Overloaded:
+        return this->refusal(agent::AttemptOutcome::Overloaded);
     case agent::Admission::OverLimit:
-        return this->refusal(agent::AttemptEnd::OverLimit);
+        return this->refusal(agent::AttemptOutcome::OverLimit);
     }
     body->onEnded([this, id](bool whole) {
         this->ended(id, whole);
@@ -93,18 +93,18 @@
     }
     this->timer = this->loop.after(LookInterval, [this] {
         this->timer = 0;
-        this->carryOut(agent::move(this->queue, BootClock::now()));
+        this->carryOut(agent::processQueue(this->queue, BootClock::now()));
         if (!this->held.empty()) {
             this->lookAgain();
         }
     });
 }
 
-void BodyIntake::carryOut(const agent::BodyMoves &moves)
+void BodyIntake::carryOut(const agent::BodyDecisions &moves)
 {
     for (const agent::BodyId refused : moves.refused) {
         if (const auto body = this->held.extract(refused)) {
-            body.mapped()->refuse(this->refusal(agent::AttemptEnd::NoRoom));
+            body.mapped()->refuse(this->refusal(agent::AttemptOutcome::Overloaded));
         }
     }
     for (const agent::BodyId admitted : moves.admitted) {
@@ -115,12 +115,12 @@
 }
 
 /** @return the answer to the agent that announced the body: the request surely did not run */
-net::HttpAnswer BodyIntake::refusal(agent::AttemptEnd end)
+net::HttpAnswer BodyIntake::refusal(agent::AttemptOutcome outcome)
 {
-    const int status = end == agent::AttemptEnd::OverLimit ? 429 : 503;
-    const agent::RefusalFacts facts{.end = end, .status = status, .ran = agent::Ran::No, .retryAfter = true};
+    const int status = outcome == agent::AttemptOutcome::OverLimit ? 429 : 503;
+    const agent::RefusalDetails facts{.outcome = outcome, .status = status, .ran = agent::Ran::No, .retryAfter = true};
     net::HttpAnswer answer = this->state.protocol->refuse({facts, &this->state.random});
-    answer.headers.push_back({EndHeader, std::string(agent::toText(end))});
+    answer.headers.push_back({OutcomeHeader, std::string(agent::toText(outcome))});
     return answer;
 }
 
--- a/src/process/BodyIntake.h
+++ b/src/process/BodyIntake.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "agent/AttemptEnd.h"
+#include "agent/AttemptOutcome.h"
 #include "agent/BodyQueue.h"
 #include "loop/EventLoop.h"
 #include "net/ExpectedBody.h"
@@ -37,9 +37,9 @@
 
 private:
     void ended(agent::BodyId id, bool whole);
-    void carryOut(const agent::BodyMoves &moves);
+    void carryOut(const agent::BodyDecisions &moves);
     void lookAgain();
-    net::HttpAnswer refusal(agent::AttemptEnd end);
+    net::HttpAnswer refusal(agent::AttemptOutcome outcome);
 
     loop::EventLoop &loop;
     AgentState &state;
--- a/src/process/CallGrants.cpp
+++ b/src/process/CallGrants.cpp
@@ -14,16 +14,16 @@
 
 constexpr loop::Log Log("grants");
 
-const char *toText(agent::OrderEnd end)
+const char *toText(agent::OrderOutcome outcome)
 {
-    switch (end) {
-    case agent::OrderEnd::Done:
+    switch (outcome) {
+    case agent::OrderOutcome::Done:
         return "done";
-    case agent::OrderEnd::Outdated:
+    case agent::OrderOutcome::Outdated:
         return "outdated";
-    case agent::OrderEnd::NotTaken:
+    case agent::OrderOutcome::NotReceived:
         return "not-taken";
-    case agent::OrderEnd::Unknown:
+    case agent::OrderOutcome::Unknown:
         break;
     }
     return "unknown";
@@ -72,14 +72,14 @@
 {
     const BootTime now = BootClock::now();
     const std::vector<agent::GrantOrder> due =
-        agent::ordersDue(this->orders, this->wanted(), this->unwanted(), this->state.lease.validUntil, now);
+        agent::takeDueOrders(this->orders, this->wanted(), this->unwanted(), this->state.lease.validUntil, now);
     const bool changed = this->publish();
     for (const agent::GrantOrder &order : due) {
         this->send(order);
     }
     this->loop.cancel(this->timer);
     this->timer = 0;
-    if (const BootTime next = agent::nextLook(this->orders, now); next != BootTime::max()) {
+    if (const BootTime next = agent::nextCheckAt(this->orders, now); next != BootTime::max()) {
         this->timer = this->loop.after(next - now, [this] {
             this->timer = 0;
             this->lookAgain();
@@ -93,7 +93,7 @@
 /** @return whether what the upstream may or surely does hold differs from what was known before */
 bool CallGrants::publish()
 {
-    std::vector<agent::HeldRange> held = agent::heldNow(this->orders, BootClock::now());
+    std::vector<agent::HeldRange> held = agent::currentlyHeld(this->orders, BootClock::now());
     std::vector<agent::HeldRange> &known = this->state.ownership.held[this->upstream.service];
     if (held == known) {
         return false;
@@ -118,26 +118,26 @@
 void CallGrants::ended(const agent::GrantOrder &order, const OrderAnswer &answer)
 {
     const BootTime now = BootClock::now();
-    agent::orderEnded(this->orders, order.id, answer.end, now);
+    agent::recordOrderOutcome(this->orders, order.id, answer.outcome, now);
     const bool isGrant = order.kind == agent::OrderKind::Grant;
-    if (!isGrant || answer.end != agent::OrderEnd::Done) {
-        Log.event(answer.end == agent::OrderEnd::Done ? loop::LogLevel::Info : loop::LogLevel::Warn,
+    if (!isGrant || answer.outcome != agent::OrderOutcome::Done) {
+        Log.event(answer.outcome == agent::OrderOutcome::Done ? loop::LogLevel::Info : loop::LogLevel::Warn,
                   isGrant ? "grant failed" : "release ended",
-                  loop::OrdinaryBound)
+                  loop::RoutineBound)
             .with("upstream", this->upstream.name)
-            .with("first_key", order.range.first / KeyGrain)
-            .with("last_key", order.range.last / KeyGrain)
+            .with("first_key", order.range.first / NumberedKeyWidth)
+            .with("last_key", order.range.last / NumberedKeyWidth)
             .with("epoch", order.range.epoch)
-            .with("end", toText(answer.end))
+            .with("end", toText(answer.outcome))
             .with("took_ms", now - order.sentAt);
     }
-    if (!isGrant && answer.end == agent::OrderEnd::Done) {
-        this->noteHandover(order, answer.handover);
+    if (!isGrant && answer.outcome == agent::OrderOutcome::Done) {
+        this->recordHandover(order, answer.handover);
     }
     this->lookAgain();
 }
 
-void CallGrants::noteHandover(const agent::GrantOrder &order, const std::string &handover)
+void CallGrants::recordHandover(const agent::GrantOrder &order, const std::string &handover)
 {
     agent::Ownership &ownership = this->state.ownership;
     for (const agent::SliceKey &key : ownership.revoked) {
@@ -182,7 +182,7 @@
         agent::Slice slice;
         slice.begin = key.begin;
         const std::uint64_t last = agent::lastHashOf(this->state.map, key.service, slice);
-        ownership.withheld.insert(key);
+        ownership.revokesSent.insert(key);
         if (!unwanted.empty() && unwanted.back().last + 1 == key.begin && unwanted.back().epoch == key.epoch) {
             unwanted.back().last = last;
         } else {
@@ -192,9 +192,9 @@
     return unwanted;
 }
 
-void CallGrants::disowned(std::uint64_t hash)
+void CallGrants::recordKeyNotHeld(std::uint64_t hash)
 {
-    agent::disowned(this->orders, hash);
+    agent::recordKeyNotHeld(this->orders, hash);
     this->lookAgain();
 }
 
--- a/src/process/CallGrants.h
+++ b/src/process/CallGrants.h
@@ -20,8 +20,8 @@
 };
 
 /**
- * Grants keys to one upstream, renews them and takes them back, by calls: carries out what agent::ordersDue() decides.
- * Owned by the LocalUpstream, whose client it sends with; used on the loop's thread.
+ * Grants keys to one upstream, renews them and takes them back, by calls: carries out what agent::takeDueOrders()
+ * decides. Owned by the LocalUpstream, whose client it sends with; used on the loop's thread.
  */
 class CallGrants
 {
@@ -40,7 +40,7 @@
     void look(const Announcement &upstream, std::uint32_t id, bool serving);
 
     /** The upstream refused a key that it was believed to hold. */
-    void disowned(std::uint64_t hash);
+    void recordKeyNotHeld(std::uint64_t hash);
 
     /** The upstream's process has surely ended. */
     void processEnded();
@@ -49,7 +49,7 @@
     void lookAgain();
     void send(const agent::GrantOrder &order);
     void ended(const agent::GrantOrder &order, const OrderAnswer &answer);
-    void noteHandover(const agent::GrantOrder &order, const std::string &handover);
+    void recordHandover(const agent::GrantOrder &order, const std::string &handover);
     bool publish();
     std::vector<agent::WantedKeys> wanted() const;
     std::vector<agent::HeldRange> unwanted();
--- a/src/process/CommandTimes.cpp
+++ b/src/process/CommandTimes.cpp
@@ -29,7 +29,7 @@
 wire::CommandResult resultOf(const ProposeResult &result)
 {
     wire::CommandResult parsed;
-    if (result.kind == ProposeEnd::Applied) {
+    if (result.kind == ProposeOutcome::Applied) {
         parsed.ParseFromString(result.result);
     }
     return parsed;
--- a/src/process/ControlLink.cpp
+++ b/src/process/ControlLink.cpp
@@ -80,7 +80,7 @@
         loop,
         state.settings.controls,
         std::move(sessionEvents),
-        rpc::ControlSessionPatience{.silence = state.settings.controlSilence, .seed = state.random()});
+        rpc::ControlSessionTimeouts{.silenceTimeout = state.settings.controlSilenceTimeout, .seed = state.random()});
     this->renewTimer = loop.every(state.settings.renewInterval, [this] {
         this->renew();
     });
@@ -145,7 +145,7 @@
 
 void ControlLink::update(rpc::SessionId id, const wire::StateUpdate &update)
 {
-    if (agent::apply(this->state.map, update) == agent::UpdateEnd::Older) {
+    if (agent::apply(this->state.map, update) == agent::UpdateOutcome::Older) {
         Log.warn("older state left out");
         return;
     }
@@ -155,14 +155,14 @@
         readTable(this->state);
         readRoutes(this->state, update.full());
     }
-    this->session->learn({update.controls().begin(), update.controls().end()});
+    this->session->addAddresses({update.controls().begin(), update.controls().end()});
     if (update.full()) {
         wire::AgentMessage message;
         *message.mutable_released() = agent::resumeReleased(this->state.ownership, this->state.map);
         if (!message.released().slices().empty()) {
             this->session->send(message);
         }
-        agent::fullStateApplied(this->state.lease, id);
+        agent::recordFullState(this->state.lease, id);
         this->renew();
     }
     this->events.stateChanged();
@@ -179,7 +179,7 @@
         return;
     }
     wire::AgentMessage message;
-    message.mutable_renew()->set_sequence(agent::noteRenewal(this->state.lease, BootClock::now()));
+    message.mutable_renew()->set_sequence(agent::recordRenewal(this->state.lease, BootClock::now()));
     *message.mutable_renew()->mutable_in_force() = this->state.map.version;
     const BootTime now = BootClock::now();
     if (now - this->state.load.since >= LoadInterval) {
--- a/src/process/ControlProcess.cpp
+++ b/src/process/ControlProcess.cpp
@@ -77,8 +77,8 @@
         return findings;
     }
     if (this->settings.group) {
-        this->keeper =
-            std::make_unique<GroupKeeper>(this->loop, *this->node, *this->settings.group, this->settings.replicaId);
+        this->keeper = std::make_unique<MembershipManager>(
+            this->loop, *this->node, *this->settings.group, this->settings.replicaId);
     }
     this->tickTimer = this->loop.every(TickInterval, [this] {
         this->tellControls();
@@ -124,9 +124,9 @@
     hooks.leadershipChanged = [this](bool leader, std::uint64_t) {
         this->leadershipChanged(leader);
     };
-    hooks.joinAsked = [this](const wire::Replica &replica) {
+    hooks.joinRequested = [this](const wire::Replica &replica) {
         if (this->keeper) {
-            this->keeper->joinAsked(replica);
+            this->keeper->joinRequested(replica);
         }
     };
     hooks.stopped = [failed = std::move(failed)](const Findings &findings) {
@@ -194,7 +194,7 @@
         return;
     }
     Log.info("stopping");
-    this->node->handOver(std::move(done));
+    this->node->transferLeadership(std::move(done));
 }
 
 std::uint16_t ControlProcess::controlPort() const
@@ -262,12 +262,13 @@
 void ControlProcess::perform(control::ProposeAction action)
 {
     stamp(action.command);
-    this->node->propose(
-        action.command.SerializeAsString(), [this, proposal = action.proposal](const ProposeResult &result) {
-            const bool applied = result.kind == ProposeEnd::Applied;
-            this->coordinator.proposed(proposal, applied ? control::ProposalEnd::Applied : control::ProposalEnd::Lost);
-            this->scheduleActions();
-        });
+    this->node->propose(action.command.SerializeAsString(),
+                        [this, proposal = action.proposal](const ProposeResult &result) {
+                            const bool applied = result.kind == ProposeOutcome::Applied;
+                            this->coordinator.proposed(
+                                proposal, applied ? control::ProposalOutcome::Applied : control::ProposalOutcome::Lost);
+                            this->scheduleActions();
+                        });
 }
 
 void ControlProcess::perform(const control::SendAction &action)
@@ -305,7 +306,7 @@
     this->node->propose(command.SerializeAsString(), [this, answer](const ProposeResult &result) {
         wire::ClaimReply reply;
         reply.set_verdict(wire::CLAIM_VERDICT_UNAVAILABLE);
-        if (result.kind == ProposeEnd::Applied) {
+        if (result.kind == ProposeOutcome::Applied) {
             reply = resultOf(result).claim();
         } else {
             reply.set_leader_address(this->node->leaderControlAddress());
@@ -316,7 +317,7 @@
 
 void ControlProcess::recordOutcome(wire::ClaimOutcome outcome, const std::function<void(wire::OutcomeReply)> &answer)
 {
-    if (outcome.body().size() > control::ClaimStore::MostAnswerBytes) {
+    if (outcome.body().size() > control::ClaimStore::MaxAnswerBytes) {
         outcome.clear_body();
         outcome.set_body_dropped(true);
     }
@@ -324,7 +325,7 @@
     *command.mutable_claim_outcome() = std::move(outcome);
     this->node->propose(command.SerializeAsString(), [this, answer](const ProposeResult &result) {
         wire::OutcomeReply reply = resultOf(result).outcome();
-        if (result.kind != ProposeEnd::Applied) {
+        if (result.kind != ProposeOutcome::Applied) {
             reply.set_leader_address(this->node->leaderControlAddress());
         }
         answer(std::move(reply));
--- a/src/process/ControlProcess.h
+++ b/src/process/ControlProcess.h
@@ -4,7 +4,7 @@
 #include "control/Coordinator.h"
 #include "control/State.h"
 #include "process/ControlSettings.h"
-#include "process/GroupKeeper.h"
+#include "process/MembershipManager.h"
 #include "process/ReplicaNode.h"
 #include "rpc/ControlService.h"
 
@@ -97,7 +97,7 @@
     std::unique_ptr<net::HttpServer> orderServer;
     std::unique_ptr<ReplicaNode> node;
     /** Only where the group keeps its own membership. */
-    std::unique_ptr<GroupKeeper> keeper;
+    std::unique_ptr<MembershipManager> keeper;
     std::uint64_t ordersTaken = 0;
 };
 
--- a/src/process/ControlProcessOrders.cpp
+++ b/src/process/ControlProcessOrders.cpp
@@ -114,7 +114,7 @@
         return;
     }
     const bool changes = request.has_put_table() || request.has_mark() || request.has_put_routes();
-    if (changes && this->keeper && !this->keeper->mayAcknowledge()) {
+    if (changes && this->keeper && !this->keeper->canAcknowledge()) {
         wire::OperatorReply notYet = this->notLeader();
         notYet.clear_leader_address();
         answer(std::move(notYet));
@@ -147,7 +147,7 @@
 {
     stamp(command);
     this->node->propose(command.SerializeAsString(), [this, answer](const ProposeResult &result) {
-        answer(result.kind == ProposeEnd::Applied ? resultOf(result).operator_reply() : this->replyTo(result));
+        answer(result.kind == ProposeOutcome::Applied ? resultOf(result).operator_reply() : this->replyTo(result));
     });
 }
 
@@ -188,16 +188,16 @@
 {
     wire::OperatorReply reply;
     switch (result.kind) {
-    case ProposeEnd::Applied:
+    case ProposeOutcome::Applied:
         *reply.mutable_version() = result.version;
         return reply;
-    case ProposeEnd::NotLeader:
+    case ProposeOutcome::NotLeader:
         return this->notLeader();
-    case ProposeEnd::Unknown:
+    case ProposeOutcome::Unknown:
         reply.set_status(wire::OPERATOR_STATUS_UNKNOWN);
         reply.set_leader_address(this->node->leaderControlAddress());
         break;
-    case ProposeEnd::Refused:
+    case ProposeOutcome::Refused:
         reply.set_status(wire::OPERATOR_STATUS_REFUSED);
         break;
     }
--- a/src/process/LocalUpstream.cpp
+++ b/src/process/LocalUpstream.cpp
@@ -62,8 +62,8 @@
         .ceiling(limited ? policy.limit : announcement.slots)
         .ceilingIsTableLimit(limited)
         .connections(connectionsFor(announcement))
-        .coldPerSecond(ColdShare * state.table.service(announcement.service).warmupPerSecond)
-        .adaptive(!state.protocol->byHeartbeat)
+        .maxColdRate(ColdShare * state.table.service(announcement.service).warmupPerSecond)
+        .adaptive(!state.protocol->usesHeartbeats)
         .build()
         .value();
 }
@@ -71,7 +71,7 @@
 net::HttpClientSettings clientSettings(const AgentState &state, const Announcement &announcement)
 {
     net::HttpClientSettings settings;
-    if (state.protocol->byHeartbeat) {
+    if (state.protocol->usesHeartbeats) {
         settings.maxIdleAge = HeartbeatIdleAge;
     }
     settings.maxIdleConnections = announcement.connections;
@@ -102,7 +102,7 @@
     , lastAnswer(this->lastAnnounced)
     , alive(std::make_shared<bool>(true))
 {
-    if (state.protocol->byHeartbeat) {
+    if (state.protocol->usesHeartbeats) {
         this->healthTimer = this->loop.every(SilenceLook, [this] {
             if (this->isSilent(BootClock::now())) {
                 this->setStatus(UpstreamStatus::Frozen);
@@ -166,7 +166,7 @@
     if (known == nullptr || known->incarnation() != this->latest.incarnation) {
         return;
     }
-    agent::resume(
+    agent::restoreLimit(
         this->gate.limit,
         {.limit = known->learned_limit(), .reference = std::chrono::microseconds(known->learned_latency_us())},
         BootClock::now());
@@ -177,7 +177,7 @@
     if (!this->isServing()) {
         return agent::Admission::NotServing;
     }
-    const agent::Admission admission = agent::arrive(this->gate, ticket, BootClock::now());
+    const agent::Admission admission = agent::requestAdmission(this->gate, ticket, BootClock::now());
     if (admission == agent::Admission::Queued) {
         this->armQueueTimer();
     }
@@ -189,9 +189,10 @@
     return this->present == UpstreamStatus::Serving && !this->isOutOfService(BootClock::now());
 }
 
-agent::Admission LocalUpstream::outlook(const agent::Ticket &ticket) const
+agent::Admission LocalUpstream::previewAdmission(const agent::Ticket &ticket) const
 {
-    return this->isServing() ? agent::outlook(this->gate, ticket, BootClock::now()) : agent::Admission::NotServing;
+    return this->isServing() ? agent::previewAdmission(this->gate, ticket, BootClock::now())
+                             : agent::Admission::NotServing;
 }
 
 std::chrono::nanoseconds LocalUpstream::meanServiceTime() const
@@ -204,7 +205,8 @@
     event.with("upstream", this->latest.name)
         .with("in_progress", this->gate.inProgress)
         .with("waiting", static_cast<std::uint64_t>(this->gate.queue.size()))
-        .with("allowed", this->gate.settings.adaptive ? agent::allowed(this->gate.limit) : this->gate.settings.ceiling)
+        .with("allowed",
+              this->gate.settings.adaptive ? agent::allowedConcurrency(this->gate.limit) : this->gate.settings.ceiling)
         .with("service_time_ms", this->gate.serviceTime)
         .with("slowness", this->slowness)
         .with("slowness_age_ms", BootClock::now() - this->slownessAt)
@@ -221,15 +223,15 @@
     if (entry.request.keyed) {
         agent::beginWork(this->state.ownership, entry.request.service, entry.request.hash);
     }
-    agent::began(this->state.crashes, entry.request.fingerprint);
+    agent::recordBegin(this->state.crashes, entry.request.fingerprint);
     net::HttpCall call = std::move(entry.request.call);
-    this->state.protocol->addOrder(call,
-                                   {std::max(entry.request.epoch, this->grantedEpoch),
-                                    entry.request.requestId,
-                                    std::chrono::duration_cast<milliseconds>(entry.request.deadline - now),
-                                    entry.request.originService,
-                                    entry.request.workspace,
-                                    this->latest.instance});
+    this->state.protocol->addRequestMetadata(call,
+                                             {std::max(entry.request.epoch, this->grantedEpoch),
+                                              entry.request.requestId,
+                                              std::chrono::duration_cast<milliseconds>(entry.request.deadline - now),
+                                              entry.request.originService,
+                                              entry.request.workspace,
+                                              this->latest.instance});
     entry.address = upstreamAddress(this->latest);
     call.address = entry.address;
     call.timeout = entry.request.deadline - now;
@@ -243,13 +245,13 @@
 
 void LocalUpstream::giveBack(agent::TicketId)
 {
-    agent::finish(this->gate, agent::WorkEnd::Lost, {}, BootClock::now());
+    agent::finish(this->gate, agent::WorkOutcome::Lost, {}, BootClock::now());
     this->moveQueue();
 }
 
 void LocalUpstream::cancel(agent::TicketId ticket)
 {
-    if (agent::leave(this->gate, ticket)) {
+    if (agent::cancelQueued(this->gate, ticket)) {
         return;
     }
     const auto found = this->work.find(ticket);
@@ -258,9 +260,9 @@
     }
     found->second.done = nullptr;
     const net::CallId call = found->second.call;
-    if (this->state.protocol->byHeartbeat) {
+    if (this->state.protocol->usesHeartbeats) {
         // Closing the connection ends the work; what the upstream holds it tells itself.
-        this->endWork(ticket, agent::WorkEnd::Lost, false);
+        this->endWork(ticket, agent::WorkOutcome::Lost, false);
     } else {
         this->linger(ticket);
     }
@@ -273,35 +275,36 @@
     if (found == this->work.end() || found->second.lingering) {
         return;
     }
-    const AttemptOutcome outcome = this->state.protocol->readOutcome(result);
+    const AttemptResult attempt = this->state.protocol->readAttemptResult(result);
     const auto done = std::exchange(found->second.done, nullptr);
-    if (result.end == net::CallEnd::Answered) {
+    if (result.outcome == net::CallOutcome::Answered) {
         this->lastAnswer = BootClock::now();
         if (const auto said = this->state.protocol->readSlowness(result.answer)) {
             this->slowness = *said;
             this->slownessAt = this->lastAnswer;
         }
-        if (outcome.end == agent::AttemptEnd::Disowned) {
-            this->noteDisowned(found->second.request);
+        if (attempt.outcome == agent::AttemptOutcome::KeyNotHeld) {
+            this->handleKeyNotHeld(found->second.request);
         }
-        const bool shed = outcome.end == agent::AttemptEnd::NoRoom;
-        this->endWork(ticket, shed ? agent::WorkEnd::Shed : agent::WorkEnd::Answered, outcome.mayHaveRun);
-    } else if (!outcome.mayHaveRun) {
-        this->endWork(ticket, agent::WorkEnd::Lost, false);
+        const bool shed = attempt.outcome == agent::AttemptOutcome::Overloaded;
+        this->endWork(ticket, shed ? agent::WorkOutcome::Shed : agent::WorkOutcome::Answered, attempt.mayHaveRun);
+    } else if (!attempt.mayHaveRun) {
+        this->endWork(ticket, agent::WorkOutcome::Lost, false);
         this->checkHealth(true);
     } else {
-        const bool late = result.end == net::CallEnd::TimedOut;
-        found->second.broken = result.end == net::CallEnd::Broken || result.end == net::CallEnd::ShortAnswer;
-        found->second.end = late ? agent::WorkEnd::TimedOut : agent::WorkEnd::Lost;
-        if (late && this->state.protocol->byHeartbeat) {
-            this->endWork(ticket, agent::WorkEnd::TimedOut, false);
+        const bool late = result.outcome == net::CallOutcome::TimedOut;
+        found->second.broken =
+            result.outcome == net::CallOutcome::ConnectionLost || result.outcome == net::CallOutcome::TruncatedAnswer;
+        found->second.outcome = late ? agent::WorkOutcome::TimedOut : agent::WorkOutcome::Lost;
+        if (late && this->state.protocol->usesHeartbeats) {
+            this->endWork(ticket, agent::WorkOutcome::TimedOut, false);
         } else {
             this->linger(ticket);
             this->checkHealth(true);
         }
     }
     if (done) {
-        done({outcome, std::move(result.answer)});
+        done({attempt, std::move(result.answer)});
     }
 }
 
@@ -313,7 +316,7 @@
 void LocalUpstream::linger(agent::TicketId ticket)
 {
     this->work.at(ticket).lingering = true;
-    if (!this->state.protocol->byHeartbeat) {
+    if (!this->state.protocol->usesHeartbeats) {
         this->askToCancel(ticket);
     }
 }
@@ -325,7 +328,7 @@
         return;
     }
     if (BootClock::now() >= found->second.request.deadline + LingerPastDeadline) {
-        this->endWork(ticket, found->second.end, false);
+        this->endWork(ticket, found->second.outcome, false);
         return;
     }
     this->client.send(cancelCall(found->second.address, found->second.request.requestId),
@@ -334,8 +337,8 @@
                           if (waiting == this->work.end()) {
                               return;
                           }
-                          if (result.end == net::CallEnd::Answered) {
-                              this->endWork(ticket, waiting->second.end, false);
+                          if (result.outcome == net::CallOutcome::Answered) {
+                              this->endWork(ticket, waiting->second.outcome, false);
                               return;
                           }
                           this->loop.after(CancelInterval, [this, ticket, alive = this->alive] {
@@ -346,7 +349,7 @@
                       });
 }
 
-void LocalUpstream::endWork(agent::TicketId ticket, agent::WorkEnd end, bool answeredInFull)
+void LocalUpstream::endWork(agent::TicketId ticket, agent::WorkOutcome outcome, bool answeredInFull)
 {
     const auto found = this->work.find(ticket);
     const Work ended = std::move(found->second);
@@ -354,12 +357,12 @@
     const BootTime now = BootClock::now();
     if (ended.request.keyed) {
         agent::endWork(this->state.ownership, ended.request.service, ended.request.hash);
-        if (end == agent::WorkEnd::Answered && answeredInFull) {
+        if (outcome == agent::WorkOutcome::Answered && answeredInFull) {
             agent::countAnswer(this->state.load, ended.request.service, now - ended.dispatchedAt);
         }
     }
-    agent::ended(this->state.crashes, ended.request.fingerprint, answeredInFull);
-    agent::finish(this->gate, end, now - ended.dispatchedAt, now);
+    agent::recordEnd(this->state.crashes, ended.request.fingerprint, answeredInFull);
+    agent::finish(this->gate, outcome, now - ended.dispatchedAt, now);
     this->moveQueue();
     this->events.workEnded();
 }
@@ -390,11 +393,11 @@
 
 void LocalUpstream::moveQueue()
 {
-    agent::GateMoves moves;
+    agent::GateDecisions moves;
     if (this->present == UpstreamStatus::Serving) {
-        moves = agent::move(this->gate, BootClock::now());
+        moves = agent::processQueue(this->gate, BootClock::now());
     } else {
-        moves.shed = agent::takeAll(this->gate);
+        moves.shed = agent::removeAllQueued(this->gate);
     }
     this->armQueueTimer();
     for (const agent::TicketId ticket : moves.shed) {
@@ -409,7 +412,7 @@
 {
     this->loop.cancel(this->queueTimer);
     this->queueTimer = 0;
-    const BootTime next = agent::nextMove(this->gate);
+    const BootTime next = agent::nextDispatchAt(this->gate);
     if (next == BootTime::max()) {
         return;
     }
@@ -437,7 +440,7 @@
     info.set_address(this->latest.address);
     info.set_started_unix_ms(static_cast<std::uint64_t>(this->latest.startedAt.count()));
     if (this->state.stopping) {
-        const agent::LearnedLimit learned = agent::learned(this->gate.limit);
+        const agent::LearnedLimit learned = agent::learnedLimit(this->gate.limit);
         const auto latency = std::chrono::duration_cast<std::chrono::microseconds>(learned.reference);
         info.set_learned_limit(learned.limit);
         info.set_learned_latency_us(static_cast<std::uint32_t>(latency.count()));
--- a/src/process/LocalUpstream.h
+++ b/src/process/LocalUpstream.h
@@ -44,7 +44,7 @@
 
 /** What came of it. */
 struct DispatchResult {
-    AttemptOutcome outcome;
+    AttemptResult attemptResult;
     net::HttpAnswer answer;
 };
 
@@ -108,7 +108,7 @@
     agent::Admission enter(const agent::Ticket &ticket);
 
     /** @return what enter() would say now, without taking the request in */
-    agent::Admission outlook(const agent::Ticket &ticket) const;
+    agent::Admission previewAdmission(const agent::Ticket &ticket) const;
 
     /** @return how long a request takes at the upstream, smoothed; 0 when not known */
     std::chrono::nanoseconds meanServiceTime() const;
@@ -150,12 +150,12 @@
 
 private:
     struct Work;
-    void checkHealth(bool freshConnection);
+    void checkHealth(bool needsNewConnection);
     void healthAnswered(const net::CallResult &result);
     void answered(agent::TicketId ticket, net::CallResult result);
     void linger(agent::TicketId ticket);
     void askToCancel(agent::TicketId ticket);
-    void endWork(agent::TicketId ticket, agent::WorkEnd end, bool answeredInFull);
+    void endWork(agent::TicketId ticket, agent::WorkOutcome outcome, bool answeredInFull);
     void processEnded();
     void endLingering();
     bool isSilent(BootTime now) const;
@@ -163,11 +163,11 @@
     bool isServing() const;
     void holdsReported(const Heartbeat &heartbeat);
     std::vector<KeyGrant> grantKeys();
-    void noteHeld(const std::vector<KeyGrant> &grants, std::chrono::milliseconds holdFor);
+    void recordHeld(const std::vector<KeyGrant> &grants, std::chrono::milliseconds holdFor);
     void holdsEnded();
     bool grantsByHeartbeat() const;
     bool grantsByCall() const;
-    void noteDisowned(const Dispatch &request);
+    void handleKeyNotHeld(const Dispatch &request);
     void setStatus(UpstreamStatus status);
     void moveQueue();
     void armQueueTimer();
--- a/src/process/LocalUpstreamHealth.cpp
+++ b/src/process/LocalUpstreamHealth.cpp
@@ -25,14 +25,14 @@
 
 } // namespace
 
-void LocalUpstream::checkHealth(bool freshConnection)
+void LocalUpstream::checkHealth(bool needsNewConnection)
 {
     const BootTime now = BootClock::now();
     if (this->present == UpstreamStatus::Crashed) {
         return;
     }
-    const bool byHeartbeat = this->state.protocol->byHeartbeat;
-    if (!byHeartbeat && (now - this->lastAnnounced > SilentAfter || now - this->lastAnswer > FrozenAfter)) {
+    const bool usesHeartbeats = this->state.protocol->usesHeartbeats;
+    if (!usesHeartbeats && (now - this->lastAnnounced > SilentAfter || now - this->lastAnswer > FrozenAfter)) {
         this->setStatus(UpstreamStatus::Frozen);
     }
     if (this->probing) {
@@ -42,7 +42,7 @@
     const table::RoutedService *const routed = this->state.table.routes().service(this->latest.service);
     net::HttpCall call = this->state.protocol->healthCall(
         upstreamAddress(this->latest), routed == nullptr ? "/health" : routed->healthPath, FrozenAfter);
-    call.freshConnection = freshConnection;
+    call.needsNewConnection = needsNewConnection;
     this->client.send(std::move(call), [this](const net::CallResult &result) {
         this->probing = false;
         this->healthAnswered(result);
@@ -52,7 +52,7 @@
 
 void LocalUpstream::healthAnswered(const net::CallResult &result)
 {
-    if (result.end == net::CallEnd::Answered) {
+    if (result.outcome == net::CallOutcome::Answered) {
         this->lastAnswer = BootClock::now();
         const bool announces = this->lastAnswer - this->lastAnnounced <= SilentAfter;
         if (this->present == UpstreamStatus::Frozen && announces) {
@@ -60,10 +60,10 @@
         }
         return;
     }
-    const bool refused = result.end == net::CallEnd::NotSent && result.elapsed < FrozenAfter;
+    const bool refused = result.outcome == net::CallOutcome::NotSent && result.elapsed < FrozenAfter;
     if (refused) {
         this->processEnded();
-    } else if (result.end == net::CallEnd::Broken && !this->state.protocol->byHeartbeat) {
+    } else if (result.outcome == net::CallOutcome::ConnectionLost && !this->state.protocol->usesHeartbeats) {
         this->checkHealth(true);
     }
 }
@@ -90,9 +90,10 @@
         this->holdsEnded();
     }
     this->setStatus(allEnded ? UpstreamStatus::Crashed : UpstreamStatus::Frozen);
-    const wire::ReportCrash report = agent::crashed(this->state.crashes, broken, this->latest.incarnation, unixTime());
+    const wire::ReportCrash report =
+        agent::recordCrash(this->state.crashes, broken, this->latest.incarnation, unixTime());
     for (const agent::TicketId ticket : ended) {
-        this->endWork(ticket, agent::WorkEnd::Lost, false);
+        this->endWork(ticket, agent::WorkOutcome::Lost, false);
     }
     if (!report.suspects().empty()) {
         Log.warn(this->latest.name + ": " + std::to_string(report.suspects_size()) + " requests suspected");
@@ -103,7 +104,7 @@
 /** Work whose connection broke ends once it is known whether the whole process did. */
 void LocalUpstream::endLingering()
 {
-    if (!this->state.protocol->byHeartbeat) {
+    if (!this->state.protocol->usesHeartbeats) {
         return;
     }
     std::vector<agent::TicketId> ended;
@@ -113,7 +114,7 @@
         }
     }
     for (const agent::TicketId ticket : ended) {
-        this->endWork(ticket, agent::WorkEnd::Lost, false);
+        this->endWork(ticket, agent::WorkOutcome::Lost, false);
     }
 }
 
@@ -138,7 +139,8 @@
         const auto found = this->work.find(ticket);
         if (found != this->work.end()) {
             this->client.cancel(found->second.call);
-            this->answered(ticket, {.end = net::CallEnd::Broken, .mayHaveRun = true, .answer = {}, .elapsed = {}});
+            this->answered(
+                ticket, {.outcome = net::CallOutcome::ConnectionLost, .mayHaveRun = true, .answer = {}, .elapsed = {}});
         }
     }
     this->endLingering();
--- a/src/process/LocalUpstreamHolds.cpp
+++ b/src/process/LocalUpstreamHolds.cpp
@@ -27,12 +27,12 @@
 
 agent::HeldRange toHeld(const KeyRange &keys, std::uint64_t epoch)
 {
-    return {placeOfKey(keys.first), placeOfKey(keys.last) + (KeyGrain - 1), epoch};
+    return {hashOfNumberedKey(keys.first), hashOfNumberedKey(keys.last) + (NumberedKeyWidth - 1), epoch};
 }
 
 KeyRange toKeys(std::uint64_t first, std::uint64_t last)
 {
-    return {static_cast<std::uint32_t>(first / KeyGrain), static_cast<std::uint32_t>(last / KeyGrain)};
+    return {static_cast<std::uint32_t>(first / NumberedKeyWidth), static_cast<std::uint32_t>(last / NumberedKeyWidth)};
 }
 
 /** Appends a grant; merges adjacent ranges of the same epoch without handovers, to keep heartbeat answers small. */
@@ -64,14 +64,14 @@
     }
     this->sequence = heartbeat.sequence;
     agent::setCold(this->gate, heartbeat.coldFor.count() > 0 ? now + heartbeat.coldFor : BootTime());
-    const bool leaves = heartbeat.leaving && this->leavingSince == BootTime();
+    const bool leaves = heartbeat.isDraining && this->leavingSince == BootTime();
     if (leaves) {
         Log.info(this->latest.name + ": leaving");
         this->leavingSince = now;
     }
     const bool differs = heartbeat.announcement != this->latest;
     this->latest = heartbeat.announcement;
-    if (!heartbeat.farewell && this->grantsByHeartbeat()) {
+    if (!heartbeat.isDeregistration && this->grantsByHeartbeat()) {
         this->holdsReported(heartbeat);
     }
     if (this->present == UpstreamStatus::Frozen) {
@@ -94,12 +94,12 @@
     }
     const auto left = std::chrono::duration_cast<milliseconds>(this->state.lease.validUntil - now);
     const auto hold = milliseconds(static_cast<milliseconds::rep>(static_cast<double>(left.count()) / (1 + SlowClock)));
-    if (heartbeat.farewell || this->present != UpstreamStatus::Serving || hold < ShortestHold) {
+    if (heartbeat.isDeregistration || this->present != UpstreamStatus::Serving || hold < ShortestHold) {
         return answer;
     }
     answer.grants = this->grantKeys();
     answer.holdFor = std::min(hold, LongestHold);
-    this->noteHeld(answer.grants, *answer.holdFor);
+    this->recordHeld(answer.grants, *answer.holdFor);
     return answer;
 }
 
@@ -112,8 +112,8 @@
     }
     agent::Ownership &ownership = this->state.ownership;
     ownership.held[this->latest.service] = std::move(held);
-    ownership.heardFrom.insert(this->latest.service);
-    for (const FreedKeys &row : heartbeat.freed) {
+    ownership.servicesReported.insert(this->latest.service);
+    for (const ReleasedKeys &row : heartbeat.releasedKeys) {
         const agent::HeldRange freed = toHeld(row.keys, 0);
         for (const agent::SliceKey &key : ownership.revoked) {
             if (key.service == this->latest.service && freed.first <= key.begin && key.begin <= freed.last) {
@@ -139,7 +139,7 @@
             continue;
         }
         if (ownership.revoked.contains(key)) {
-            ownership.withheld.insert(key);
+            ownership.revokesSent.insert(key);
             continue;
         }
         const std::uint64_t last = agent::lastHashOf(this->state.map, this->latest.service, slice);
@@ -148,7 +148,7 @@
     return grants;
 }
 
-void LocalUpstream::noteHeld(const std::vector<KeyGrant> &grants, milliseconds holdFor)
+void LocalUpstream::recordHeld(const std::vector<KeyGrant> &grants, milliseconds holdFor)
 {
     std::vector<agent::HeldRange> &held = this->state.ownership.held[this->latest.service];
     for (const KeyGrant &grant : grants) {
@@ -187,7 +187,7 @@
     }
 }
 
-void LocalUpstream::noteDisowned(const Dispatch &request)
+void LocalUpstream::handleKeyNotHeld(const Dispatch &request)
 {
     Log.event(loop::LogLevel::Warn, "key disowned by the upstream", loop::FailureBound)
         .with("request", request.requestId)
@@ -197,9 +197,9 @@
     if (!request.keyed) {
         return;
     }
-    agent::disowned(this->state.ownership, request.service, request.hash);
+    agent::recordKeyNotHeld(this->state.ownership, request.service, request.hash);
     if (this->grantsByCall()) {
-        this->callGrants.disowned(request.hash);
+        this->callGrants.recordKeyNotHeld(request.hash);
     }
 }
 
--- a/src/process/LocalUpstreamOrders.cpp
+++ b/src/process/LocalUpstreamOrders.cpp
@@ -26,7 +26,7 @@
     Grant grant;
     grant.service = this->latest.service;
     const auto found = this->state.map.slices.find(grant.service);
-    if (own == 0 || found == this->state.map.slices.end() || !agent::holds(this->state.lease, now)) {
+    if (own == 0 || found == this->state.map.slices.end() || !agent::isValidAt(this->state.lease, now)) {
         return {};
     }
     const std::vector<agent::Slice> &slices = found->second;
@@ -71,7 +71,7 @@
         this->client.send(grantsCall(upstreamAddress(this->latest), grant),
                           [this, epoch](const net::CallResult &result) {
                               this->granting = false;
-                              if (result.end == net::CallEnd::Answered) {
+                              if (result.outcome == net::CallOutcome::Answered) {
                                   this->grantedEpoch = std::max(this->grantedEpoch, epoch);
                               }
                               if (std::exchange(this->grantAgain, false)) {
--- a/src/process/LocalWork.h
+++ b/src/process/LocalWork.h
@@ -16,7 +16,7 @@
     bool broken = false;
     /** Given up; counted until it has surely ended. */
     bool lingering = false;
-    agent::WorkEnd end = agent::WorkEnd::Lost;
+    agent::WorkOutcome outcome = agent::WorkOutcome::Lost;
 };
 
 } // namespace bergamotweir::process
--- a/src/process/GroupKeeper.cpp
+++ b/src/process/MembershipManager.cpp
@@ -1,8 +1,8 @@
-#include "process/GroupKeeper.h"
+#include "process/MembershipManager.h"
 
 #include "loop/Log.h"
 #include "process/ReplicaNode.h"
-#include "raft/GroupPlan.h"
+#include "raft/MembershipPlan.h"
 
 #include <algorithm>
 
@@ -30,7 +30,10 @@
 
 } // namespace
 
-GroupKeeper::GroupKeeper(loop::EventLoop &loop, ReplicaNode &node, GroupSettings settings, std::string replicaId)
+MembershipManager::MembershipManager(loop::EventLoop &loop,
+                                     ReplicaNode &node,
+                                     GroupSettings settings,
+                                     std::string replicaId)
     : loop(loop)
     , node(node)
     , settings(std::move(settings))
@@ -42,13 +45,13 @@
     });
 }
 
-GroupKeeper::~GroupKeeper()
+MembershipManager::~MembershipManager()
 {
     *this->alive = false;
     this->loop.cancel(this->timer);
 }
 
-void GroupKeeper::joinAsked(const wire::Replica &replica)
+void MembershipManager::joinRequested(const wire::Replica &replica)
 {
     if (!this->joiners.contains(replica.id())) {
         Log.info(replica.id() + " at " + replica.address() + " asks to join");
@@ -56,35 +59,35 @@
     this->joiners[replica.id()] = {replica, BootClock::now()};
 }
 
-bool GroupKeeper::mayAcknowledge() const
+bool MembershipManager::canAcknowledge() const
 {
     if (raft::countVoters(this->node.membership()) >= this->settings.wantedVoters) {
         return true;
     }
-    return this->leadsSince != BootTime() && BootClock::now() - this->leadsSince >= this->settings.gatherFor;
+    return this->leaderSince != BootTime() && BootClock::now() - this->leaderSince >= this->settings.joinGrace;
 }
 
-void GroupKeeper::look()
+void MembershipManager::look()
 {
     const BootTime now = BootClock::now();
     if (!this->node.leaderId().empty()) {
         this->leaderSeen = now;
     }
     if (!this->node.isLeader()) {
-        this->leadsSince = BootTime();
+        this->leaderSince = BootTime();
         this->joiners.clear();
         if (!isMember(this->node.membership(), this->replicaId) || now - this->leaderSeen >= LeaderlessFor) {
-            this->askToJoin();
+            this->requestJoin();
         }
         return;
     }
-    if (this->leadsSince == BootTime()) {
-        this->leadsSince = now;
+    if (this->leaderSince == BootTime()) {
+        this->leaderSince = now;
     }
     this->changeMembership(now);
 }
 
-void GroupKeeper::askToJoin()
+void MembershipManager::requestJoin()
 {
     std::vector<std::string> addresses = this->settings.seeds;
     const wire::Membership membership = this->node.membership();
@@ -93,14 +96,14 @@
     }
     std::sort(addresses.begin(), addresses.end());
     addresses.erase(std::unique(addresses.begin(), addresses.end()), addresses.end());
-    this->node.askToJoin(addresses);
+    this->node.requestJoin(addresses);
 }
 
-void GroupKeeper::changeMembership(BootTime now)
+void MembershipManager::changeMembership(BootTime now)
 {
-    raft::GroupFacts facts;
+    raft::MembershipFacts facts;
     facts.members = this->node.membership();
-    facts.gone = this->node.silentMembers(this->settings.goneAfter);
+    facts.unresponsive = this->node.unresponsiveMembers(this->settings.removeAfter);
     facts.wantedVoters = this->settings.wantedVoters;
     std::erase_if(this->joiners, [&](const auto &entry) {
         return isMember(facts.members, entry.first) || now - entry.second.askedAt > JoinerAge;
@@ -121,7 +124,7 @@
             return;
         }
         this->changing = false;
-        if (result.kind == ProposeEnd::Applied) {
+        if (result.kind == ProposeOutcome::Applied) {
             Log.info(wire::ChangeMember::Change_Name(change->change()) + " of " + change->replica().id() + " done, "
                      + std::to_string(raft::countVoters(this->node.membership())) + " voters");
         }
--- a/src/process/GroupKeeper.h
+++ b/src/process/MembershipManager.h
@@ -16,24 +16,24 @@
  * the leader carries out one change after the other (raft::nextChange()).
  * Owned by the control process; used on the loop's thread.
  */
-class GroupKeeper
+class MembershipManager
 {
 public:
     /** @param loop and @param node outlive this */
-    GroupKeeper(loop::EventLoop &loop, ReplicaNode &node, GroupSettings settings, std::string replicaId);
-    ~GroupKeeper();
-    GroupKeeper(const GroupKeeper &) = delete;
-    GroupKeeper &operator=(const GroupKeeper &) = delete;
+    MembershipManager(loop::EventLoop &loop, ReplicaNode &node, GroupSettings settings, std::string replicaId);
+    ~MembershipManager();
+    MembershipManager(const MembershipManager &) = delete;
+    MembershipManager &operator=(const MembershipManager &) = delete;
 
     /** A replica asks this leader to be taken in. */
-    void joinAsked(const wire::Replica &replica);
+    void joinRequested(const wire::Replica &replica);
 
     /**
      * Guards against a change that is acknowledged and lost: with only the first three voters, two lost disks take it
      * with them.
      * @return whether the group is large enough for what it acknowledges, or nobody has come for a long time
      */
-    bool mayAcknowledge() const;
+    bool canAcknowledge() const;
 
 private:
     struct Joiner {
@@ -42,7 +42,7 @@
     };
 
     void look();
-    void askToJoin();
+    void requestJoin();
     void changeMembership(BootTime now);
 
     loop::EventLoop &loop;
@@ -50,7 +50,7 @@
     const GroupSettings settings;
     const std::string replicaId;
     std::map<std::string, Joiner> joiners;
-    BootTime leadsSince;
+    BootTime leaderSince;
     BootTime leaderSeen;
     bool changing = false;
     loop::TimerId timer = 0;
--- a/src/process/OwnProtocol.cpp
+++ b/src/process/OwnProtocol.cpp
@@ -49,13 +49,13 @@
         .headersToForward = headersOf,
         .answerForCaller = answerForCaller,
         .refuse = refuseOwn,
-        .addOrder = addOrder,
-        .readOutcome = readOutcome,
+        .addRequestMetadata = addRequestMetadata,
+        .readAttemptResult = readAttemptResult,
         .readSlowness = saysNothingOfSpeed,
         .readHeartbeat = nullptr,
         .answerHeartbeat = nullptr,
         .healthCall = ownHealthCall,
-        .byHeartbeat = false,
+        .usesHeartbeats = false,
     };
     return protocol;
 }
--- a/src/process/ReplicaNode.cpp
+++ b/src/process/ReplicaNode.cpp
@@ -48,7 +48,7 @@
 
     Findings openParts(disk::FileOperations files);
     void postIfAlive(std::function<void()> task);
-    void joinAsked(const wire::RaftMessage &message);
+    void joinRequested(const wire::RaftMessage &message);
     void scheduleTurn();
     void endTurn();
     void endProposals();
@@ -63,7 +63,7 @@
     void perform(raft::LostLeadership &action);
     void perform(raft::Confirmed &action);
     void perform(raft::MemberChanged &action);
-    void perform(raft::HandOverEnded &action);
+    void perform(raft::LeadershipTransferEnded &action);
 
     loop::EventLoop &loop;
     const ReplicaSettings settings;
@@ -95,7 +95,7 @@
     Result<std::unique_ptr<rpc::RaftTransport>> transport =
         rpc::RaftTransport::open(this->loop, listen, [this](const wire::RaftMessage &message) {
             if (message.has_join()) {
-                this->joinAsked(message);
+                this->joinRequested(message);
                 return;
             }
             this->core->receive(message, BootClock::now());
@@ -150,11 +150,11 @@
     });
 }
 
-void ReplicaNode::Parts::joinAsked(const wire::RaftMessage &message)
+void ReplicaNode::Parts::joinRequested(const wire::RaftMessage &message)
 {
     if (this->leading) {
-        if (this->hooks.joinAsked) {
-            this->hooks.joinAsked(message.join().replica());
+        if (this->hooks.joinRequested) {
+            this->hooks.joinRequested(message.join().replica());
         }
         return;
     }
@@ -222,7 +222,7 @@
         return;
     }
     ProposeResult result;
-    result.kind = ProposeEnd::Applied;
+    result.kind = ProposeOutcome::Applied;
     result.version = this->applied;
     result.result = this->hooks.apply(this->applied, entry.payload());
     const auto found = this->proposals.find(entry.index());
@@ -232,7 +232,7 @@
     const Proposal proposal = std::move(found->second);
     this->proposals.erase(found);
     if (proposal.term != entry.term()) {
-        result.kind = ProposeEnd::Unknown;
+        result.kind = ProposeOutcome::Unknown;
         result.result.clear();
     }
     proposal.done(std::move(result));
@@ -270,7 +270,7 @@
 {
     for (auto &[index, proposal] : std::exchange(this->proposals, {})) {
         ProposeResult result;
-        result.kind = ProposeEnd::Unknown;
+        result.kind = ProposeOutcome::Unknown;
         result.version = versionOf(proposal.term, index);
         proposal.done(std::move(result));
     }
@@ -287,22 +287,22 @@
     ProposeResult result;
     result.version = versionOf(action.term, action.index);
     result.findings = std::move(action.findings);
-    switch (action.end) {
-    case raft::ChangeEnd::Committed:
-        result.kind = ProposeEnd::Applied;
+    switch (action.outcome) {
+    case raft::ChangeOutcome::Committed:
+        result.kind = ProposeOutcome::Applied;
         break;
-    case raft::ChangeEnd::Refused:
-        result.kind = ProposeEnd::Refused;
+    case raft::ChangeOutcome::Refused:
+        result.kind = ProposeOutcome::Refused;
         break;
-    case raft::ChangeEnd::Unknown:
-        result.kind = ProposeEnd::Unknown;
+    case raft::ChangeOutcome::Unknown:
+        result.kind = ProposeOutcome::Unknown;
         break;
     }
     auto change = this->changes.extract(action.request);
     change.mapped()(std::move(result));
 }
 
-void ReplicaNode::Parts::perform(raft::HandOverEnded &)
+void ReplicaNode::Parts::perform(raft::LeadershipTransferEnded &)
 {
     for (const std::function<void()> &done : std::exchange(this->handOvers, {})) {
         done();
@@ -337,7 +337,7 @@
 {
     ProposeResult refused;
     if (command.size() > MaxCommandBytes) {
-        refused.kind = ProposeEnd::Refused;
+        refused.kind = ProposeOutcome::Refused;
         refused.findings = oneFinding("command", "is larger than " + std::to_string(MaxCommandBytes) + " bytes");
     } else if (const std::optional<wire::Version> version = this->parts->core->propose(std::move(command))) {
         this->parts->proposals[version->index()] = {version->term(), std::move(done)};
@@ -412,7 +412,7 @@
     this->parts->scheduleTurn();
 }
 
-void ReplicaNode::askToJoin(const std::vector<std::string> &addresses)
+void ReplicaNode::requestJoin(const std::vector<std::string> &addresses)
 {
     wire::RaftMessage message;
     message.set_from(this->parts->settings.id);
@@ -427,15 +427,15 @@
     }
 }
 
-std::set<std::string> ReplicaNode::silentMembers(std::chrono::nanoseconds patience) const
+std::set<std::string> ReplicaNode::unresponsiveMembers(std::chrono::nanoseconds timeout) const
 {
-    return this->parts->core->silentMembers(patience);
+    return this->parts->core->unresponsiveMembers(timeout);
 }
 
-void ReplicaNode::handOver(std::function<void()> done)
+void ReplicaNode::transferLeadership(std::function<void()> done)
 {
     this->parts->handOvers.push_back(std::move(done));
-    this->parts->core->handOver();
+    this->parts->core->transferLeadership();
     this->parts->scheduleTurn();
 }
 
--- a/src/process/RequestRunner.cpp
+++ b/src/process/RequestRunner.cpp
@@ -18,7 +18,7 @@
 namespace {
 
 using agent::ActionKind;
-using agent::AttemptEnd;
+using agent::AttemptOutcome;
 using agent::EventKind;
 using std::chrono::milliseconds;
 
@@ -30,18 +30,18 @@
 constexpr milliseconds HopMargin{2};
 
 /** @return how the other agent says that the attempt ended; its answer is an upstream's unless it says otherwise */
-AttemptOutcome readPeerOutcome(const net::CallResult &result)
+AttemptResult readPeerResult(const net::CallResult &result)
 {
-    if (result.end != net::CallEnd::Answered) {
-        return readOutcome(result);
+    if (result.outcome != net::CallOutcome::Answered) {
+        return readAttemptResult(result);
     }
-    const std::string *end = net::findHeader(result.answer.headers, EndHeader);
+    const std::string *outcomeName = net::findHeader(result.answer.headers, OutcomeHeader);
     const std::string *ran = net::findHeader(result.answer.headers, "Request-Ran");
     const bool mayHaveRun = ran == nullptr || *ran != "no";
-    if (end == nullptr) {
-        return {AttemptEnd::Answered, mayHaveRun};
+    if (outcomeName == nullptr) {
+        return {AttemptOutcome::Answered, mayHaveRun};
     }
-    return {agent::attemptEndFromText(*end).value_or(AttemptEnd::Broken), mayHaveRun};
+    return {agent::attemptOutcomeFromText(*outcomeName).value_or(AttemptOutcome::ConnectionLost), mayHaveRun};
 }
 
 } // namespace
@@ -61,8 +61,8 @@
 {
     const BootTime now = BootClock::now();
     if (this->running.size() >= MaxRunning) {
-        const agent::RefusalFacts refusal{
-            .end = AttemptEnd::NoRoom, .status = 503, .ran = agent::Ran::No, .retryAfter = true};
+        const agent::RefusalDetails refusal{
+            .outcome = AttemptOutcome::Overloaded, .status = 503, .ran = agent::Ran::No, .retryAfter = true};
         exchange->answer(this->state.protocol->refuse({refusal, &this->state.random}));
         return;
     }
@@ -70,7 +70,7 @@
     if (auto *refusal = std::get_if<net::HttpAnswer>(&parsed)) {
         if (origin == Origin::Peer) {
             // This agent's table may be behind the sender's, which waits and asks again.
-            refusal->headers.push_back({EndHeader, std::string(agent::toText(AttemptEnd::NotOwner))});
+            refusal->headers.push_back({OutcomeHeader, std::string(agent::toText(AttemptOutcome::NotOwner))});
         }
         Log.event(loop::LogLevel::Warn, "request not routed")
             .with("request", this->state.protocol->requestId(exchange->request()))
@@ -91,7 +91,7 @@
     request->exchange = exchange;
     request->parsed = std::move(std::get<ParsedRequest>(parsed));
     if (request->parsed.targets.timeout.count() > 0) {
-        request->parsed.facts.urgency = agent::urgencyOf(request->parsed.targets, now);
+        request->parsed.facts.queuePriority = agent::queuePriorityOf(request->parsed.targets, now);
     }
     request->state.facts = request->parsed.facts;
     request->acceptedAt = now;
@@ -100,12 +100,12 @@
         request->parsed.originService = this->state.settings.service;
     }
     if (request->parsed.suspect) {
-        agent::suspect(this->state.crashes, request->parsed.fingerprint);
+        agent::markSuspect(this->state.crashes, request->parsed.fingerprint);
     }
     if (request->parsed.requestId.empty()) {
         request->parsed.requestId = this->idPrefix + std::to_string(number);
     }
-    Log.event(loop::LogLevel::Info, "request accepted", loop::OrdinaryBound)
+    Log.event(loop::LogLevel::Info, "request accepted", loop::RoutineBound)
         .with("request", request->parsed.requestId)
         .with("from", origin == Origin::Caller ? "caller" : "agent")
         .with("route", request->parsed.route)
@@ -117,7 +117,7 @@
         this->handle(number, {.kind = EventKind::DeadlinePassed});
     });
     exchange->onAbandoned([this, number] {
-        this->handle(number, {.kind = EventKind::CallerGone});
+        this->handle(number, {.kind = EventKind::CallerDisconnected});
     });
     const bool quarantined = this->state.map.quarantined.contains(request->parsed.fingerprint);
     this->running.emplace(number, std::move(request));
@@ -130,8 +130,8 @@
     if (origin == Origin::Caller && this->state.map.version.index() == 0) {
         // Guards against a service that seems not to exist. It shows as 404, which nobody sends again, from an agent
         // that has just started and hasn't heard from control which services there are.
-        const agent::RefusalFacts refusal{
-            .end = AttemptEnd::NotOwner, .status = 503, .ran = agent::Ran::No, .retryAfter = true};
+        const agent::RefusalDetails refusal{
+            .outcome = AttemptOutcome::NotOwner, .status = 503, .ran = agent::Ran::No, .retryAfter = true};
         return this->state.protocol->refuse({refusal, &this->state.random});
     }
     if (origin == Origin::Caller) {
@@ -215,7 +215,8 @@
 
 void RequestRunner::wait(Running &request, std::chrono::nanoseconds delay)
 {
-    if (this->needs.metrics != nullptr && request.state.facts.keyed && request.state.lastEnd == AttemptEnd::NotOwner) {
+    if (this->needs.metrics != nullptr && request.state.facts.keyed
+        && request.state.lastOutcome == AttemptOutcome::NotOwner) {
         this->needs.metrics->keyedRequestWithoutOwner();
     }
     const Number number = request.number;
@@ -240,7 +241,8 @@
     std::vector<Number> woken;
     for (const auto &[number, request] : this->running) {
         if (request->waits
-            && (request->state.lastEnd == AttemptEnd::NotOwner || request->state.lastEnd == AttemptEnd::NotSent)) {
+            && (request->state.lastOutcome == AttemptOutcome::NotOwner
+                || request->state.lastOutcome == AttemptOutcome::NotSent)) {
             woken.push_back(number);
         }
     }
@@ -282,18 +284,19 @@
     }
     request.attempts[action.attempt] = std::move(attempt);
     this->tickets[ticket] = {request.number, action.attempt};
-    agent::noteSent(this->state.services[request.state.facts.service].routing, action.upstream, BootClock::now());
+    agent::recordSent(this->state.services[request.state.facts.service].routing, action.upstream, BootClock::now());
     const agent::Admission admission =
-        upstream == nullptr ? agent::Admission::NotServing
-                            : upstream->enter({ticket, request.state.facts.deadline, request.state.facts.urgency});
+        upstream == nullptr
+            ? agent::Admission::NotServing
+            : upstream->enter({ticket, request.state.facts.deadline, request.state.facts.queuePriority});
     if (admission != agent::Admission::Admitted && upstream != nullptr) {
         upstream->describe(
             Log.event(loop::LogLevel::Info,
                       admission == agent::Admission::Queued ? "request queued" : "turned away at the gate",
-                      admission == agent::Admission::Queued ? loop::OrdinaryBound : loop::FailureBound)
+                      admission == agent::Admission::Queued ? loop::RoutineBound : loop::FailureBound)
                 .with("request", request.parsed.requestId)
-                .with("priority", request.state.facts.urgency.priority)
-                .with("start_within_ms", request.state.facts.urgency.startBy - BootClock::now()));
+                .with("priority", request.state.facts.queuePriority.priority)
+                .with("start_within_ms", request.state.facts.queuePriority.dispatchDeadline - BootClock::now()));
     }
     switch (admission) {
     case agent::Admission::Admitted:
@@ -301,14 +304,14 @@
         break;
     case agent::Admission::Queued:
         break;
-    case agent::Admission::NoRoom:
-        this->attemptEnded(request.number, action.attempt, AttemptEnd::NoRoom, false, {});
+    case agent::Admission::Overloaded:
+        this->attemptEnded(request.number, action.attempt, AttemptOutcome::Overloaded, false, {});
         break;
     case agent::Admission::NotServing:
-        this->attemptEnded(request.number, action.attempt, AttemptEnd::NotOwner, false, {});
+        this->attemptEnded(request.number, action.attempt, AttemptOutcome::NotOwner, false, {});
         break;
     case agent::Admission::OverLimit:
-        this->attemptEnded(request.number, action.attempt, AttemptEnd::OverLimit, false, {});
+        this->attemptEnded(request.number, action.attempt, AttemptOutcome::OverLimit, false, {});
         break;
     }
 }
@@ -323,28 +326,28 @@
     if (admitted) {
         this->handle(number, {.kind = EventKind::Admitted, .attempt = attempt});
     } else {
-        this->attemptEnded(number, attempt, AttemptEnd::NoRoom, false, {});
+        this->attemptEnded(number, attempt, AttemptOutcome::Overloaded, false, {});
     }
 }
 
 /** The last check before a request is handed to an upstream: ownership and lease as they are now. */
-AttemptEnd RequestRunner::checkDispatch(const Running &request, std::uint64_t &epoch) const
+AttemptOutcome RequestRunner::checkDispatch(const Running &request, std::uint64_t &epoch) const
 {
     const agent::RequestFacts &facts = request.state.facts;
     if (this->state.map.quarantined.contains(request.parsed.fingerprint)) {
-        return AttemptEnd::Quarantined;
+        return AttemptOutcome::Quarantined;
     }
-    if (!agent::mayRun(this->state.crashes, request.parsed.fingerprint)) {
-        return AttemptEnd::NoRoom;
+    if (!agent::canRun(this->state.crashes, request.parsed.fingerprint)) {
+        return AttemptOutcome::Overloaded;
     }
     if (!facts.keyed) {
-        return AttemptEnd::Answered;
+        return AttemptOutcome::Answered;
     }
     agent::Slice slice;
-    const agent::Refusal refusal = agent::checkOwnership(
+    const agent::OwnershipRefusal refusal = agent::checkOwnership(
         this->state.ownership, this->state.map, this->state.lease, facts.service, facts.hash, BootClock::now(), &slice);
     epoch = slice.epoch;
-    return refusal == agent::Refusal::None ? AttemptEnd::Answered : AttemptEnd::NotOwner;
+    return refusal == agent::OwnershipRefusal::None ? AttemptOutcome::Answered : AttemptOutcome::NotOwner;
 }
 
 void RequestRunner::dispatch(Running &request, const agent::RequestAction &action)
@@ -353,8 +356,9 @@
     attempt.dispatchedAt = BootClock::now();
     LocalUpstream *upstream = this->needs.localUpstream(action.upstream);
     Dispatch order;
-    const AttemptEnd check = upstream == nullptr ? AttemptEnd::NotOwner : this->checkDispatch(request, order.epoch);
-    if (check != AttemptEnd::Answered) {
+    const AttemptOutcome check =
+        upstream == nullptr ? AttemptOutcome::NotOwner : this->checkDispatch(request, order.epoch);
+    if (check != AttemptOutcome::Answered) {
         if (upstream != nullptr) {
             upstream->giveBack(attempt.ticket);
         }
@@ -377,7 +381,8 @@
     const Number number = request.number;
     const unsigned id = action.attempt;
     upstream->dispatch(attempt.ticket, std::move(order), [this, number, id](DispatchResult result) {
-        this->attemptEnded(number, id, result.outcome.end, result.outcome.mayHaveRun, std::move(result.answer));
+        this->attemptEnded(
+            number, id, result.attemptResult.outcome, result.attemptResult.mayHaveRun, std::move(result.answer));
     });
 }
 
@@ -389,12 +394,12 @@
     LiveAttempt attempt;
     attempt.upstream = action.upstream;
     attempt.begunAt = now;
-    agent::noteSent(this->state.services[request.state.facts.service].routing, action.upstream, BootClock::now());
+    agent::recordSent(this->state.services[request.state.facts.service].routing, action.upstream, BootClock::now());
     const Number number = request.number;
     const unsigned id = action.attempt;
     if (upstream == nullptr || left.count() <= 0) {
         request.attempts[id] = std::move(attempt);
-        this->attemptEnded(number, id, AttemptEnd::NotSent, false, {});
+        this->attemptEnded(number, id, AttemptOutcome::NotSent, false, {});
         return;
     }
     const net::HttpRequest &received = request.exchange->request();
@@ -412,17 +417,17 @@
         call.headers.push_back({SuspectHeader, "1"});
     }
     call.body = received.body;
-    call.awaitContinue = call.body.size() >= LargeBodyBytes;
+    call.expectContinue = call.body.size() >= LargeBodyBytes;
     call.timeout = request.state.facts.deadline - now;
     attempt.call = this->peers.send(std::move(call), [this, number, id](net::CallResult result) {
-        const AttemptOutcome outcome = readPeerOutcome(result);
-        this->attemptEnded(number, id, outcome.end, outcome.mayHaveRun, std::move(result.answer));
+        const AttemptResult attemptResult = readPeerResult(result);
+        this->attemptEnded(number, id, attemptResult.outcome, attemptResult.mayHaveRun, std::move(result.answer));
     });
     request.attempts[id] = std::move(attempt);
 }
 
 void RequestRunner::attemptEnded(
-    Number number, unsigned attempt, AttemptEnd end, bool mayHaveRun, net::HttpAnswer answer)
+    Number number, unsigned attempt, AttemptOutcome outcome, bool mayHaveRun, net::HttpAnswer answer)
 {
     const auto found = this->running.find(number);
     if (found == this->running.end()) {
@@ -434,26 +439,27 @@
         return;
     }
     live->second.answer = std::move(answer);
-    this->noteTime(request, live->second);
-    if (end != AttemptEnd::Answered) {
+    this->recordTime(request, live->second);
+    if (outcome != AttemptOutcome::Answered) {
         const ServiceState &service = serviceOf(this->state, request.state.facts.service);
         Log.event(loop::LogLevel::Warn, "attempt failed")
             .with("request", request.parsed.requestId)
             .with("attempt", attempt)
-            .with("end", agent::toText(end))
+            .with("end", agent::toText(outcome))
             .with("may_have_run", mayHaveRun)
             .with("took_ms", BootClock::now() - live->second.begunAt)
             .with("tries", request.state.tries)
-            .with("most_tries", request.state.facts.mostTries)
+            .with("most_tries", request.state.facts.maxTries)
             .with("retry_budget", service.retries.tokens)
             .with("deadline_left_ms", request.state.facts.deadline - BootClock::now());
     }
     this->tickets.erase(live->second.ticket);
-    this->noteRouting(request, live->second, end);
-    if (end == AttemptEnd::Crashed || end == AttemptEnd::Broken) {
-        agent::suspect(this->state.crashes, request.parsed.fingerprint);
+    this->recordRouting(request, live->second, outcome);
+    if (outcome == AttemptOutcome::Crashed || outcome == AttemptOutcome::ConnectionLost) {
+        agent::markSuspect(this->state.crashes, request.parsed.fingerprint);
     }
-    this->handle(number, {.kind = EventKind::AttemptEnded, .attempt = attempt, .end = end, .mayHaveRun = mayHaveRun});
+    this->handle(number,
+                 {.kind = EventKind::AttemptEnded, .attempt = attempt, .outcome = outcome, .mayHaveRun = mayHaveRun});
 }
 
 void RequestRunner::finish(Running &request)
--- a/src/process/RequestRunner.h
+++ b/src/process/RequestRunner.h
@@ -26,7 +26,7 @@
 class LocalUpstream;
 
 /** How a request ended, for the burn report. */
-struct RequestEndNote {
+struct RequestSummary {
     std::string service;
     std::uint32_t upstream = 0;
     int status = 0;
@@ -42,7 +42,7 @@
     rpc::ClaimClient *claims = nullptr;
     /** May be nullptr. */
     AgentMetrics *metrics = nullptr;
-    std::function<void(const RequestEndNote &)> ended;
+    std::function<void(const RequestSummary &)> ended;
     /** Control should hear of the demand of workspaces at once; may be empty. */
     std::function<void()> demandRose;
 };
@@ -82,7 +82,7 @@
     void claim(Running &request);
     void route(Running &request);
     void logChoice(const Running &request, std::uint32_t upstream) const;
-    void noteTime(const Running &request, const LiveAttempt &attempt);
+    void recordTime(const Running &request, const LiveAttempt &attempt);
     std::uint32_t routeKeyed(const Running &request) const;
     std::uint32_t routeUnkeyed(Running &request);
     std::uint32_t routeForwarded(const Running &request) const;
@@ -97,14 +97,15 @@
     /** @return the refusal when the limit of the caller's workspace lets no request through now */
     std::optional<net::HttpAnswer> refuseBeyondLimit(ParsedRequest &parsed);
     /** Takes back the count of a refused request against its workspace's limit, unless it may have run. */
-    void returnAdmission(const Running &request, const agent::RefusalFacts &refusal);
-    void countEnd(const Running &request, std::string_view outcome, int status);
-    void refuse(Running &request, const agent::RefusalFacts &refusal);
+    void returnAdmission(const Running &request, const agent::RefusalDetails &refusal);
+    void countEnd(const Running &request, std::string_view outcomeLabel, int status);
+    void refuse(Running &request, const agent::RefusalDetails &refusal);
     void record(Running &request, const agent::RequestAction &action);
-    void attemptEnded(Number number, unsigned attempt, agent::AttemptEnd end, bool mayHaveRun, net::HttpAnswer answer);
-    void noteRouting(Running &request, const LiveAttempt &attempt, agent::AttemptEnd end);
+    void attemptEnded(
+        Number number, unsigned attempt, agent::AttemptOutcome outcome, bool mayHaveRun, net::HttpAnswer answer);
+    void recordRouting(Running &request, const LiveAttempt &attempt, agent::AttemptOutcome outcome);
     void finish(Running &request);
-    agent::AttemptEnd checkDispatch(const Running &request, std::uint64_t &epoch) const;
+    agent::AttemptOutcome checkDispatch(const Running &request, std::uint64_t &epoch) const;
 
     loop::EventLoop &loop;
     AgentState &state;
--- a/src/process/RequestRunnerAnswers.cpp
+++ b/src/process/RequestRunnerAnswers.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-using agent::AttemptEnd;
+using agent::AttemptOutcome;
 
 constexpr loop::Log Log("request");
 
@@ -22,9 +22,9 @@
     return load == nullptr ? -1 : std::strtod(load->c_str(), nullptr);
 }
 
-AttemptEnd endOf(const agent::RefusalFacts &refusal)
+AttemptOutcome endOf(const agent::RefusalDetails &refusal)
 {
-    return refusal.cause == agent::RefusalCause::DeadlinePassed ? AttemptEnd::TimedOut : refusal.end;
+    return refusal.cause == agent::RefusalCause::DeadlinePassed ? AttemptOutcome::TimedOut : refusal.outcome;
 }
 
 } // namespace
@@ -45,32 +45,32 @@
         this->peers.cancel(live.call);
     }
     const BootTime now = BootClock::now();
-    agent::noteCancelled(
+    agent::recordCancelled(
         this->state.services[request.state.facts.service].routing, live.upstream, now - live.begunAt, now);
     request.attempts.erase(found);
 }
 
-void RequestRunner::noteRouting(Running &request, const LiveAttempt &attempt, AttemptEnd end)
+void RequestRunner::recordRouting(Running &request, const LiveAttempt &attempt, AttemptOutcome outcome)
 {
     agent::ServiceRouting &routing = this->state.services[request.state.facts.service].routing;
     const BootTime now = BootClock::now();
     const auto waited = now - attempt.begunAt;
-    switch (end) {
-    case AttemptEnd::Answered: {
+    switch (outcome) {
+    case AttemptOutcome::Answered: {
         const LocalUpstream *local = attempt.local ? this->needs.localUpstream(attempt.upstream) : nullptr;
         const double load = local != nullptr ? local->load() : readLoad(attempt.answer);
-        agent::noteAnswered(routing, attempt.upstream, waited, load, now);
+        agent::recordAnswered(routing, attempt.upstream, waited, load, now);
         break;
     }
-    case AttemptEnd::NoRoom:
-    case AttemptEnd::OverLimit:
-    case AttemptEnd::NotOwner:
-    case AttemptEnd::Disowned:
-    case AttemptEnd::Quarantined:
-        agent::noteShed(routing, attempt.upstream, now);
+    case AttemptOutcome::Overloaded:
+    case AttemptOutcome::OverLimit:
+    case AttemptOutcome::NotOwner:
+    case AttemptOutcome::KeyNotHeld:
+    case AttemptOutcome::Quarantined:
+        agent::recordShed(routing, attempt.upstream, now);
         break;
     default:
-        agent::noteFailed(routing, attempt.upstream, waited, now);
+        agent::recordFailed(routing, attempt.upstream, waited, now);
         break;
     }
 }
@@ -79,7 +79,7 @@
 {
     const LiveAttempt &live = request.attempts.at(attempt);
     const wire::UpstreamInfo *by = agent::findUpstream(this->state.map, live.upstream);
-    Log.event(loop::LogLevel::Info, "request answered", loop::OrdinaryBound)
+    Log.event(loop::LogLevel::Info, "request answered", loop::RoutineBound)
         .with("request", request.parsed.requestId)
         .with("status", live.answer.status)
         .with("upstream", by == nullptr ? "" : by->name())
@@ -89,7 +89,7 @@
     net::HttpAnswer answer = this->state.protocol->answerForCaller(live.answer);
     if (request.origin == Origin::Peer) {
         const LocalUpstream *local = this->needs.localUpstream(live.upstream);
-        answer.headers.push_back({EndHeader, std::string(agent::toText(AttemptEnd::Answered))});
+        answer.headers.push_back({OutcomeHeader, std::string(agent::toText(AttemptOutcome::Answered))});
         answer.headers.push_back({LoadHeader, std::to_string(local == nullptr ? 0 : local->load())});
     } else {
         this->needs.ended({.service = request.state.facts.service,
@@ -100,14 +100,15 @@
     request.exchange->answer(std::move(answer));
 }
 
-void RequestRunner::countEnd(const Running &request, std::string_view outcome, int status)
+void RequestRunner::countEnd(const Running &request, std::string_view outcomeLabel, int status)
 {
     if (this->needs.metrics == nullptr || request.origin == Origin::Peer) {
         return;
     }
     const table::RouteKind byMethod =
-        agent::mayRepeat(request.state.facts) ? table::RouteKind::Idempotent : table::RouteKind::NonIdempotent;
-    this->needs.metrics->requestEnded(request.parsed.route, request.parsed.kind.value_or(byMethod), outcome, status);
+        agent::canRetry(request.state.facts) ? table::RouteKind::Idempotent : table::RouteKind::NonIdempotent;
+    this->needs.metrics->requestEnded(
+        request.parsed.route, request.parsed.kind.value_or(byMethod), outcomeLabel, status);
     this->needs.metrics->spent(TimeSpent::Whole, request.state.facts.service, BootClock::now() - request.acceptedAt);
     if (request.state.tries > 1) {
         this->needs.metrics->retried(request.state.facts.service,
@@ -115,7 +116,7 @@
     }
 }
 
-void RequestRunner::refuse(Running &request, const agent::RefusalFacts &refusal)
+void RequestRunner::refuse(Running &request, const agent::RefusalDetails &refusal)
 {
     static constexpr std::array<const char *, 3> RanNames{"no", "unknown", "yes"};
     Log.event(loop::LogLevel::Warn, "request refused")
@@ -133,7 +134,7 @@
     }
     net::HttpAnswer answer = this->state.protocol->refuse({refusal, &this->state.random});
     if (request.origin == Origin::Peer) {
-        answer.headers.push_back({EndHeader, std::string(agent::toText(endOf(refusal)))});
+        answer.headers.push_back({OutcomeHeader, std::string(agent::toText(endOf(refusal)))});
     } else {
         this->needs.ended({.service = request.state.facts.service,
                            .upstream = request.state.tried.empty() ? 0 : request.state.tried.back(),
--- a/src/process/RequestRunnerClaims.cpp
+++ b/src/process/RequestRunnerClaims.cpp
@@ -84,9 +84,9 @@
     outcome.set_service(request.state.facts.service);
     outcome.set_idempotency_key(request.parsed.idempotencyKey);
     outcome.set_attempt(request.parsed.requestId);
-    outcome.set_released(action.outcome == agent::ClaimEnd::Released);
-    outcome.set_unknown(action.outcome == agent::ClaimEnd::Unknown);
-    if (action.outcome == agent::ClaimEnd::Answered) {
+    outcome.set_released(action.claimResolution == agent::ClaimResolution::Released);
+    outcome.set_unknown(action.claimResolution == agent::ClaimResolution::Unknown);
+    if (action.claimResolution == agent::ClaimResolution::Answered) {
         const net::HttpAnswer &answer = request.attempts.at(action.attempt).answer;
         outcome.set_status(static_cast<std::uint32_t>(answer.status));
         outcome.set_body_dropped(answer.body.size() > MaxRecordedBody);
--- a/src/process/RequestRunnerLimits.cpp
+++ b/src/process/RequestRunnerLimits.cpp
@@ -14,15 +14,15 @@
 constexpr int TooManyRequests = 429;
 constexpr int Unavailable = 503;
 
-agent::RefusalFacts refusalFor(const agent::LimitDecision &decision)
+agent::RefusalDetails refusalFor(const agent::LimitDecision &decision)
 {
-    agent::RefusalFacts refusal;
+    agent::RefusalDetails refusal;
     refusal.cause = agent::RefusalCause::Limit;
-    refusal.end = agent::AttemptEnd::OverLimit;
+    refusal.outcome = agent::AttemptOutcome::OverLimit;
     refusal.status = decision.verdict == agent::LimitVerdict::NoShare ? Unavailable : TooManyRequests;
     refusal.ran = agent::Ran::No;
     refusal.retryAfter = true;
-    refusal.comeBackAfter = decision.retryAfter;
+    refusal.retryAfterDelay = decision.retryAfter;
     return refusal;
 }
 
@@ -35,11 +35,11 @@
         return std::nullopt;
     }
     const agent::LimitDecision decision = agent::admit(this->state.limits, *workspace, BootClock::now());
-    if (decision.ask && this->needs.demandRose) {
+    if (decision.shouldAskControl && this->needs.demandRose) {
         this->needs.demandRose();
     }
     if (agent::isAdmitted(decision)) {
-        parsed.countedByShare = decision.verdict == agent::LimitVerdict::Admitted && table::isLimited(*workspace);
+        parsed.countsAgainstShare = decision.verdict == agent::LimitVerdict::Admitted && table::isLimited(*workspace);
         return std::nullopt;
     }
     const agent::LimitShare &share = this->state.limits.workspaces[workspace->name];
@@ -59,9 +59,9 @@
     return this->state.protocol->refuse({refusalFor(decision), &this->state.random});
 }
 
-void RequestRunner::returnAdmission(const Running &request, const agent::RefusalFacts &refusal)
+void RequestRunner::returnAdmission(const Running &request, const agent::RefusalDetails &refusal)
 {
-    if (request.parsed.countedByShare && refusal.ran == agent::Ran::No) {
+    if (request.parsed.countsAgainstShare && refusal.ran == agent::Ran::No) {
         agent::returnAdmission(this->state.limits, request.parsed.workspace);
     }
 }
--- a/src/process/RequestRunnerLog.cpp
+++ b/src/process/RequestRunnerLog.cpp
@@ -21,7 +21,7 @@
             .with("request", request.parsed.requestId)
             .with("service", facts.service)
             .with("keyed", facts.keyed)
-            .with("lease", agent::holds(this->state.lease, BootClock::now()))
+            .with("lease", agent::isValidAt(this->state.lease, BootClock::now()))
             .with("state_index", this->state.map.version.index());
         return;
     }
@@ -31,7 +31,7 @@
                             : service->second.routing.health.find(upstream);
     const bool seen = service != this->state.services.end() && health != service->second.routing.health.end();
     const auto slice = facts.keyed ? agent::findSlice(this->state.map, facts.service, facts.hash) : std::nullopt;
-    Log.event(loop::LogLevel::Info, "upstream chosen", loop::OrdinaryBound)
+    Log.event(loop::LogLevel::Info, "upstream chosen", loop::RoutineBound)
         .with("request", request.parsed.requestId)
         .with("upstream", known->name())
         .with("agent", known->agent())
@@ -45,7 +45,7 @@
         .with("outstanding", seen ? health->second.outstanding : 0);
 }
 
-void RequestRunner::noteTime(const Running &request, const LiveAttempt &attempt)
+void RequestRunner::recordTime(const Running &request, const LiveAttempt &attempt)
 {
     if (this->needs.metrics == nullptr) {
         return;
--- a/src/process/RequestRunnerRouting.cpp
+++ b/src/process/RequestRunnerRouting.cpp
@@ -48,7 +48,7 @@
 std::uint32_t RequestRunner::routeForwarded(const Running &request) const
 {
     const agent::RequestFacts &facts = request.state.facts;
-    const std::uint32_t wanted = request.parsed.wantedUpstream;
+    const std::uint32_t wanted = request.parsed.requestedUpstream;
     const LocalUpstream *upstream = this->needs.localUpstream(wanted);
     if (upstream == nullptr || upstream->announcement().service != facts.service) {
         return 0;
--- a/src/process/RequestText.cpp
+++ b/src/process/RequestText.cpp
@@ -1,6 +1,6 @@
 #include "process/RequestText.h"
 
-#include "agent/CrashWatch.h"
+#include "agent/CrashTracker.h"
 #include "base/KeyHash.h"
 #include "net/Problem.h"
 #include "table/Table.h"
@@ -92,7 +92,7 @@
     parsed.facts.forwarded = true;
     parsed.requestId = headerText(request, "Request-Id");
     const std::uint64_t wanted = readNumber(headerText(request, UpstreamHeader)).value_or(0);
-    parsed.wantedUpstream = static_cast<std::uint32_t>(wanted);
+    parsed.requestedUpstream = static_cast<std::uint32_t>(wanted);
     parsed.suspect = !headerText(request, SuspectHeader).empty();
 }
 
@@ -101,38 +101,38 @@
     const char *detail;
 };
 
-RefusalText textOf(agent::AttemptEnd end)
+RefusalText textOf(agent::AttemptOutcome outcome)
 {
-    switch (end) {
-    case agent::AttemptEnd::NotOwner:
-    case agent::AttemptEnd::Disowned:
+    switch (outcome) {
+    case agent::AttemptOutcome::NotOwner:
+    case agent::AttemptOutcome::KeyNotHeld:
         return {"no owner", "nobody serves this key or service now"};
-    case agent::AttemptEnd::NoRoom:
+    case agent::AttemptOutcome::Overloaded:
         return {"no room", "the upstream can't serve this request in time"};
-    case agent::AttemptEnd::OverLimit:
+    case agent::AttemptOutcome::OverLimit:
         return {"over the limit", "the upstream is at the limit that the table sets"};
-    case agent::AttemptEnd::Quarantined:
+    case agent::AttemptOutcome::Quarantined:
         return {"quarantined", "this request crashed upstreams"};
-    case agent::AttemptEnd::NotSent:
+    case agent::AttemptOutcome::NotSent:
         return {"upstream not reached", "no connection to the upstream"};
-    case agent::AttemptEnd::TimedOut:
+    case agent::AttemptOutcome::TimedOut:
         return {"deadline passed", "the upstream didn't answer in time"};
-    case agent::AttemptEnd::ShortAnswer:
+    case agent::AttemptOutcome::TruncatedAnswer:
         return {"upstream failed", "the upstream's answer was cut short"};
-    case agent::AttemptEnd::TooLarge:
+    case agent::AttemptOutcome::TooLarge:
         return {"upstream failed", "the upstream's answer was too large"};
-    case agent::AttemptEnd::Crashed:
+    case agent::AttemptOutcome::Crashed:
         return {"upstream failed", "the upstream crashed"};
     default:
         return {"upstream failed", "the connection to the upstream broke"};
     }
 }
 
-RefusalText textOf(const agent::RefusalFacts &refusal)
+RefusalText textOf(const agent::RefusalDetails &refusal)
 {
     switch (refusal.cause) {
     case agent::RefusalCause::Attempt:
-        return textOf(refusal.end);
+        return textOf(refusal.outcome);
     case agent::RefusalCause::DeadlinePassed:
         return {"deadline passed", "no answer before the request's deadline"};
     case agent::RefusalCause::ClaimConflict:
@@ -209,40 +209,41 @@
 
 namespace {
 
-std::string urgencyText(const agent::Urgency &urgency, BootTime now)
+std::string urgencyText(const agent::QueuePriority &queuePriority, BootTime now)
 {
     const auto from = [&](BootTime time) {
         return std::to_string(std::chrono::duration_cast<milliseconds>(time - now).count());
     };
-    return std::to_string(urgency.priority) + " " + from(urgency.orderBy) + " " + from(urgency.startBy);
+    return std::to_string(queuePriority.priority) + " " + from(queuePriority.targetDeadline) + " "
+           + from(queuePriority.dispatchDeadline);
 }
 
 /** @return what urgencyText() told, or the least urgent of all */
-agent::Urgency readUrgency(const std::string &text, BootTime now)
+agent::QueuePriority readUrgency(const std::string &text, BootTime now)
 {
-    agent::Urgency urgency;
-    long orderBy = 0;
-    long startBy = 0;
-    if (std::sscanf(text.c_str(), "%u %ld %ld", &urgency.priority, &orderBy, &startBy) == 3) {
-        urgency.orderBy = now + milliseconds(orderBy);
-        urgency.startBy = now + milliseconds(startBy);
+    agent::QueuePriority queuePriority;
+    long targetDeadline = 0;
+    long dispatchDeadline = 0;
+    if (std::sscanf(text.c_str(), "%u %ld %ld", &queuePriority.priority, &targetDeadline, &dispatchDeadline) == 3) {
+        queuePriority.targetDeadline = now + milliseconds(targetDeadline);
+        queuePriority.dispatchDeadline = now + milliseconds(dispatchDeadline);
     }
-    return urgency;
+    return queuePriority;
 }
 
 } // namespace
 
 void addForwarding(std::vector<net::Header> &headers, const ParsedRequest &parsed, BootTime now)
 {
-    if (parsed.facts.urgency.startBy != BootTime::max()) {
-        headers.push_back({UrgencyHeader, urgencyText(parsed.facts.urgency, now)});
+    if (parsed.facts.queuePriority.dispatchDeadline != BootTime::max()) {
+        headers.push_back({QueuePriorityHeader, urgencyText(parsed.facts.queuePriority, now)});
     }
     headers.push_back({ServiceHeader, parsed.facts.service});
     if (parsed.facts.keyed) {
         headers.push_back({PlaceHeader, std::to_string(parsed.facts.hash)});
     }
     headers.push_back({FingerprintHeader, std::to_string(parsed.fingerprint)});
-    headers.push_back({RepeatableHeader, agent::mayRepeat(parsed.facts) ? "1" : "0"});
+    headers.push_back({RepeatableHeader, agent::canRetry(parsed.facts) ? "1" : "0"});
     headers.push_back({OriginHeader, parsed.originService});
     if (!parsed.workspace.empty()) {
         headers.push_back({WorkspaceHeader, parsed.workspace});
@@ -263,7 +264,7 @@
         return badRequest("a forwarded request names no service or has no time left");
     }
     parsed.facts.deadline = *deadline;
-    parsed.facts.urgency = readUrgency(headerText(request, UrgencyHeader), now);
+    parsed.facts.queuePriority = readUrgency(headerText(request, QueuePriorityHeader), now);
     if (const std::optional<std::uint64_t> place = readNumber(headerText(request, PlaceHeader))) {
         parsed.facts.keyed = true;
         parsed.facts.hash = *place;
@@ -293,7 +294,7 @@
     return answer;
 }
 
-net::HttpAnswer refusalAnswer(const agent::RefusalFacts &refusal, pcg32 &random)
+net::HttpAnswer refusalAnswer(const agent::RefusalDetails &refusal, pcg32 &random)
 {
     const RefusalText text = textOf(refusal);
     net::HttpAnswer answer = net::problem(refusal.status, text.title, text.detail, toWire(refusal.ran));
--- a/src/process/RequestText.h
+++ b/src/process/RequestText.h
@@ -18,7 +18,7 @@
 namespace bergamotweir::process {
 
 /** Header fields that agents use among themselves; none is taken from a caller or passed to one. */
-constexpr const char *EndHeader = "Bergamotweir-End";
+constexpr const char *OutcomeHeader = "Bergamotweir-End";
 constexpr const char *HopHeader = "Bergamotweir-Hop";
 constexpr const char *UpstreamHeader = "Bergamotweir-Upstream";
 constexpr const char *SuspectHeader = "Bergamotweir-Suspect";
@@ -28,7 +28,7 @@
 constexpr const char *PlaceHeader = "Bergamotweir-Key-Place";
 constexpr const char *FingerprintHeader = "Bergamotweir-Fingerprint";
 /** Priority, and the times in milliseconds by which the request wants to start and must have started. */
-constexpr const char *UrgencyHeader = "Bergamotweir-Urgency";
+constexpr const char *QueuePriorityHeader = "Bergamotweir-Urgency";
 constexpr const char *RepeatableHeader = "Bergamotweir-Repeatable";
 constexpr const char *OriginHeader = "Bergamotweir-Origin-Service";
 constexpr const char *WorkspaceHeader = "Bergamotweir-Workspace";
@@ -56,6 +56,6 @@
  * Makes the problem that a request is refused with.
  * @param random spreads Retry-After, so that callers who were refused together don't come back together
  */
-net::HttpAnswer refusalAnswer(const agent::RefusalFacts &refusal, pcg32 &random);
+net::HttpAnswer refusalAnswer(const agent::RefusalDetails &refusal, pcg32 &random);
 
 } // namespace bergamotweir::process
--- a/src/process/UpstreamProtocol.cpp
+++ b/src/process/UpstreamProtocol.cpp
@@ -56,15 +56,15 @@
     return ranges;
 }
 
-AttemptOutcome readAnswer(const net::HttpAnswer &answer)
+AttemptResult readAnswer(const net::HttpAnswer &answer)
 {
     constexpr int FirstError = 400;
     constexpr int NoRoomStatus = 503;
     const std::string *ran = net::findHeader(answer.headers, "Request-Ran");
     if (ran == nullptr || *ran != "no" || answer.status < FirstError) {
-        return {agent::AttemptEnd::Answered, true};
+        return {agent::AttemptOutcome::Answered, true};
     }
-    return {answer.status == NoRoomStatus ? agent::AttemptEnd::NoRoom : agent::AttemptEnd::NotOwner, false};
+    return {answer.status == NoRoomStatus ? agent::AttemptOutcome::Overloaded : agent::AttemptOutcome::NotOwner, false};
 }
 
 } // namespace
@@ -134,36 +134,36 @@
     return call;
 }
 
-void addOrder(net::HttpCall &call, const RequestOrder &order)
+void addRequestMetadata(net::HttpCall &call, const RequestMetadata &metadata)
 {
-    call.headers.push_back({"Grant-Epoch", std::to_string(order.epoch)});
-    call.headers.push_back({"Request-Id", order.requestId});
-    call.headers.push_back({"Request-Timeout", std::to_string(order.timeout.count())});
+    call.headers.push_back({"Grant-Epoch", std::to_string(metadata.epoch)});
+    call.headers.push_back({"Request-Id", metadata.requestId});
+    call.headers.push_back({"Request-Timeout", std::to_string(metadata.timeout.count())});
 }
 
-AttemptOutcome readOutcome(const net::CallResult &result)
+AttemptResult readAttemptResult(const net::CallResult &result)
 {
-    return result.end == net::CallEnd::Answered ? readAnswer(result.answer) : readUnanswered(result);
+    return result.outcome == net::CallOutcome::Answered ? readAnswer(result.answer) : readUnanswered(result);
 }
 
-AttemptOutcome readUnanswered(const net::CallResult &result)
+AttemptResult readUnanswered(const net::CallResult &result)
 {
-    switch (result.end) {
-    case net::CallEnd::Answered:
+    switch (result.outcome) {
+    case net::CallOutcome::Answered:
         break;
-    case net::CallEnd::NotSent:
-        return {agent::AttemptEnd::NotSent, false};
-    case net::CallEnd::ShortAnswer:
-        return {agent::AttemptEnd::ShortAnswer, true};
-    case net::CallEnd::TooLarge:
-        return {agent::AttemptEnd::TooLarge, true};
-    case net::CallEnd::TimedOut:
-        return {agent::AttemptEnd::TimedOut, result.mayHaveRun};
-    case net::CallEnd::Broken:
-    case net::CallEnd::Cancelled:
-        return {agent::AttemptEnd::Broken, result.mayHaveRun};
+    case net::CallOutcome::NotSent:
+        return {agent::AttemptOutcome::NotSent, false};
+    case net::CallOutcome::TruncatedAnswer:
+        return {agent::AttemptOutcome::TruncatedAnswer, true};
+    case net::CallOutcome::TooLarge:
+        return {agent::AttemptOutcome::TooLarge, true};
+    case net::CallOutcome::TimedOut:
+        return {agent::AttemptOutcome::TimedOut, result.mayHaveRun};
+    case net::CallOutcome::ConnectionLost:
+    case net::CallOutcome::Cancelled:
+        return {agent::AttemptOutcome::ConnectionLost, result.mayHaveRun};
     }
-    return {agent::AttemptEnd::Broken, true};
+    return {agent::AttemptOutcome::ConnectionLost, true};
 }
 
 } // namespace bergamotweir::process
--- a/src/process/UpstreamProtocol.h
+++ b/src/process/UpstreamProtocol.h
@@ -4,7 +4,7 @@
 #include "net/CallResult.h"
 #include "net/HttpCall.h"
 #include "process/Announcement.h"
-#include "process/RequestOrder.h"
+#include "process/RequestMetadata.h"
 
 #include <cstdint>
 #include <string>
@@ -45,16 +45,16 @@
 net::HttpCall healthCall(const std::string &address, std::chrono::milliseconds timeout);
 
 /** Adds the header fields of a request on its way to an upstream. */
-void addOrder(net::HttpCall &call, const RequestOrder &order);
+void addRequestMetadata(net::HttpCall &call, const RequestMetadata &metadata);
 
 /**
  * Reads how a request ended at an upstream.
  * An answer of 503 with Request-Ran: no is a shed one; another refusal with Request-Ran: no is an upstream that checks
  * its grants and found the request outside of them.
  */
-AttemptOutcome readOutcome(const net::CallResult &result);
+AttemptResult readAttemptResult(const net::CallResult &result);
 
 /** @return how a request ended that got no whole answer; the same in every protocol */
-AttemptOutcome readUnanswered(const net::CallResult &result);
+AttemptResult readUnanswered(const net::CallResult &result);
 
 } // namespace bergamotweir::process
--- a/src/raft/Election.cpp
+++ b/src/raft/Election.cpp
@@ -101,7 +101,7 @@
     this->termStartApplied = false;
     this->termStartIndex = 0;
     this->progresses.clear();
-    if (!this->bound()) {
+    if (!this->hasLoggedMembership()) {
         wire::Membership membership = this->membership();
         for (wire::Replica &replica : *membership.mutable_replicas()) {
             replica.set_disk_id(this->votes.at(replica.id()));
@@ -160,7 +160,7 @@
     this->countVotes();
 }
 
-void RaftCore::onHandOver()
+void RaftCore::onLeadershipTransfer()
 {
     if (this->currentRole == Role::Leader || !this->isVoter()) {
         return;
@@ -187,7 +187,7 @@
     }
 }
 
-const Progress *RaftCore::handOverTarget() const
+const Progress *RaftCore::leadershipTransferTarget() const
 {
     const Progress *best = nullptr;
     for (const auto &[id, progress] : this->progresses) {
@@ -199,41 +199,42 @@
     return best;
 }
 
-void RaftCore::handOver()
+void RaftCore::transferLeadership()
 {
     if (this->currentRole != Role::Leader) {
-        this->emit(HandOverEnded{});
+        this->emit(LeadershipTransferEnded{});
         return;
     }
-    if (this->handingOver) {
+    if (this->leadershipTransfer) {
         return;
     }
-    const Progress *target = this->handOverTarget();
+    const Progress *target = this->leadershipTransferTarget();
     if (target == nullptr) {
-        this->emit(HandOverEnded{});
+        this->emit(LeadershipTransferEnded{});
         return;
     }
-    this->handingOver = PendingHandOver{target->replica.id(), this->now + this->settings.electionTimeoutMax, {}};
-    this->continueHandOver();
+    this->leadershipTransfer =
+        PendingLeadershipTransfer{target->replica.id(), this->now + this->settings.electionTimeoutMax, {}};
+    this->continueLeadershipTransfer();
 }
 
-void RaftCore::continueHandOver()
+void RaftCore::continueLeadershipTransfer()
 {
-    if (!this->handingOver) {
+    if (!this->leadershipTransfer) {
         return;
     }
-    const auto found = this->progresses.find(this->handingOver->target);
-    if (this->now >= this->handingOver->deadline || found == this->progresses.end()) {
-        this->handingOver.reset();
-        this->emit(HandOverEnded{});
+    const auto found = this->progresses.find(this->leadershipTransfer->target);
+    if (this->now >= this->leadershipTransfer->deadline || found == this->progresses.end()) {
+        this->leadershipTransfer.reset();
+        this->emit(LeadershipTransferEnded{});
         return;
     }
     const Progress &target = found->second;
     const bool caughtUp = target.match == this->entries.lastIndex();
-    if (!caughtUp || this->now - this->handingOver->sentAt < this->settings.heartbeat) {
+    if (!caughtUp || this->now - this->leadershipTransfer->sentAt < this->settings.heartbeat) {
         return;
     }
-    this->handingOver->sentAt = this->now;
+    this->leadershipTransfer->sentAt = this->now;
     wire::RaftMessage request = this->message(target.replica.id(), target.replica.disk_id(), this->currentTerm);
     request.mutable_hand_over();
     this->send(target.replica.address(), std::move(request), 0);
--- a/src/raft/Membership.cpp
+++ b/src/raft/Membership.cpp
@@ -1,4 +1,4 @@
-#include "raft/GroupPlan.h"
+#include "raft/MembershipPlan.h"
 #include "raft/RaftCore.h"
 
 #include <algorithm>
@@ -37,7 +37,7 @@
 
 } // namespace
 
-bool RaftCore::bound() const
+bool RaftCore::hasLoggedMembership() const
 {
     return this->memberships.rbegin()->first > 0;
 }
@@ -73,17 +73,17 @@
             counted += counts(replica) ? 1 : 0;
         }
     }
-    if (!this->bound()) {
+    if (!this->hasLoggedMembership()) {
         return voters > 0 && counted == voters;
     }
     return counted * 2 > voters;
 }
 
-std::set<std::string> RaftCore::silentMembers(std::chrono::nanoseconds patience) const
+std::set<std::string> RaftCore::unresponsiveMembers(std::chrono::nanoseconds timeout) const
 {
     std::set<std::string> silent;
     for (const auto &[id, progress] : this->progresses) {
-        if (this->now - progress.lastAnswer > patience) {
+        if (this->now - progress.lastAnswer > timeout) {
             silent.insert(id);
         }
     }
@@ -113,7 +113,7 @@
 
 void RaftCore::refuseChange(RequestId request, std::string message)
 {
-    this->emit(MemberChanged{request, ChangeEnd::Refused, 0, 0, oneFinding(Place, std::move(message))});
+    this->emit(MemberChanged{request, ChangeOutcome::Refused, 0, 0, oneFinding(Place, std::move(message))});
 }
 
 /*
@@ -168,7 +168,7 @@
 
 void RaftCore::changeMember(RequestId request, const wire::ChangeMember &asked)
 {
-    if (!this->leads() || this->handingOver) {
+    if (!this->isLeader() || this->leadershipTransfer) {
         this->refuseChange(request, "this replica does not lead");
         return;
     }
@@ -255,13 +255,13 @@
         return;
     }
     if (this->change && this->change->index == entry.index()) {
-        this->emit(MemberChanged{this->change->request, ChangeEnd::Committed, entry.term(), entry.index(), {}});
+        this->emit(MemberChanged{this->change->request, ChangeOutcome::Committed, entry.term(), entry.index(), {}});
         this->change.reset();
     }
     const bool newest = this->memberships.rbegin()->first == entry.index();
     if (newest && !this->isVoter()) {
         // The leader removed itself: a voter that holds the whole log takes over at once.
-        const Progress *target = this->handOverTarget();
+        const Progress *target = this->leadershipTransferTarget();
         if (target != nullptr) {
             wire::RaftMessage request =
                 this->message(target->replica.id(), target->replica.disk_id(), this->currentTerm);
--- a/src/raft/GroupPlan.cpp
+++ b/src/raft/MembershipPlan.cpp
@@ -1,4 +1,4 @@
-#include "raft/GroupPlan.h"
+#include "raft/MembershipPlan.h"
 
 #include <algorithm>
 
@@ -15,7 +15,7 @@
 }
 
 /** @return the newest other replica at the address of a member: a later member, or one that asks to join; or nullptr */
-const wire::Replica *successorOf(const GroupFacts &facts, const wire::Replica &member)
+const wire::Replica *successorOf(const MembershipFacts &facts, const wire::Replica &member)
 {
     for (const wire::Replica &joiner : facts.joiners) {
         if (joiner.address() == member.address()) {
@@ -31,17 +31,17 @@
     return newest->id() == member.id() ? nullptr : newest;
 }
 
-std::optional<wire::ChangeMember> removeLearner(const GroupFacts &facts)
+std::optional<wire::ChangeMember> removeLearner(const MembershipFacts &facts)
 {
     for (const wire::Replica &member : facts.members.replicas()) {
-        if (!member.voter() && (facts.gone.contains(member.id()) || successorOf(facts, member) != nullptr)) {
+        if (!member.voter() && (facts.unresponsive.contains(member.id()) || successorOf(facts, member) != nullptr)) {
             return change(member, wire::ChangeMember::CHANGE_REMOVE);
         }
     }
     return std::nullopt;
 }
 
-std::optional<wire::ChangeMember> promoteLearner(const GroupFacts &facts)
+std::optional<wire::ChangeMember> promoteLearner(const MembershipFacts &facts)
 {
     for (const wire::Replica &member : facts.members.replicas()) {
         if (!member.voter()) {
@@ -51,7 +51,7 @@
     return std::nullopt;
 }
 
-std::optional<wire::ChangeMember> removeVoter(const GroupFacts &facts)
+std::optional<wire::ChangeMember> removeVoter(const MembershipFacts &facts)
 {
     const bool spare = countVoters(facts.members) > facts.wantedVoters;
     for (const wire::Replica &member : facts.members.replicas()) {
@@ -60,7 +60,7 @@
         }
         const wire::Replica *const successor = successorOf(facts, member);
         const bool replaced = successor != nullptr && successor->voter();
-        if (replaced || (spare && facts.gone.contains(member.id()))) {
+        if (replaced || (spare && facts.unresponsive.contains(member.id()))) {
             return change(member, wire::ChangeMember::CHANGE_REMOVE);
         }
     }
@@ -69,7 +69,7 @@
 
 } // namespace
 
-std::optional<wire::ChangeMember> nextChange(const GroupFacts &facts)
+std::optional<wire::ChangeMember> nextChange(const MembershipFacts &facts)
 {
     if (auto removal = removeLearner(facts)) {
         return removal;
--- a/src/raft/RaftCore.cpp
+++ b/src/raft/RaftCore.cpp
@@ -57,7 +57,7 @@
     for (auto &[id, progress] : this->progresses) {
         progress.sendDue = progress.sendDue || this->now - progress.lastSent >= this->settings.heartbeat;
     }
-    this->continueHandOver();
+    this->continueLeadershipTransfer();
     this->askIdentity();
 }
 
@@ -107,7 +107,7 @@
     if (!message.to_disk().empty()) {
         return message.to_disk() == this->ownDisk;
     }
-    return message.has_identify() || (message.has_vote_request() && !this->bound() && !this->self.join);
+    return message.has_identify() || (message.has_vote_request() && !this->hasLoggedMembership() && !this->self.join);
 }
 
 bool RaftCore::isKnownSender(const wire::RaftMessage &message) const
@@ -166,7 +166,7 @@
         this->onSnapshotReply(message);
         break;
     case wire::RaftMessage::kHandOver:
-        this->onHandOver();
+        this->onLeadershipTransfer();
         break;
     default:
         break;
@@ -204,15 +204,15 @@
     if (this->change) {
         const bool inLog = this->change->index != 0;
         this->emit(MemberChanged{this->change->request,
-                                 inLog ? ChangeEnd::Unknown : ChangeEnd::Refused,
+                                 inLog ? ChangeOutcome::Unknown : ChangeOutcome::Refused,
                                  this->currentTerm,
                                  this->change->index,
                                  oneFinding("membership", "leadership was lost meanwhile")});
         this->change.reset();
     }
-    if (this->handingOver) {
-        this->handingOver.reset();
-        this->emit(HandOverEnded{});
+    if (this->leadershipTransfer) {
+        this->leadershipTransfer.reset();
+        this->emit(LeadershipTransferEnded{});
     }
     this->progresses.clear();
 }
@@ -315,7 +315,7 @@
 
 std::optional<wire::Version> RaftCore::propose(std::string command)
 {
-    if (!this->leads() || this->handingOver) {
+    if (!this->isLeader() || this->leadershipTransfer) {
         return std::nullopt;
     }
     if (this->entries.lastIndex() - this->commit >= this->settings.uncommittedEntries) {
@@ -386,7 +386,7 @@
     return this->currentRole;
 }
 
-bool RaftCore::leads() const
+bool RaftCore::isLeader() const
 {
     return this->currentRole == Role::Leader && this->termStartApplied;
 }
--- a/src/raft/Replication.cpp
+++ b/src/raft/Replication.cpp
@@ -138,7 +138,7 @@
     this->send(message.from_address(), std::move(answer), this->voteTicket);
 }
 
-void RaftCore::noteAnswer(Progress &progress, std::uint64_t answeredRound)
+void RaftCore::recordAnswer(Progress &progress, std::uint64_t answeredRound)
 {
     progress.lastAnswer = this->now;
     progress.answeredRound = std::max(progress.answeredRound, answeredRound);
@@ -152,7 +152,7 @@
     }
     Progress &progress = found->second;
     const wire::AppendReply &reply = message.append_reply();
-    this->noteAnswer(progress, reply.round());
+    this->recordAnswer(progress, reply.round());
     if (reply.accepted()) {
         progress.probing = false;
         progress.match = std::max(progress.match, std::min(reply.match_index(), this->entries.lastIndex()));
@@ -164,7 +164,7 @@
         progress.next = std::clamp(reply.hint_index(), progress.match + 1, this->entries.lastIndex() + 1);
     }
     this->checkConfirms();
-    this->continueHandOver();
+    this->continueLeadershipTransfer();
 }
 
 /*
--- a/src/raft/SnapshotTransfer.cpp
+++ b/src/raft/SnapshotTransfer.cpp
@@ -140,7 +140,7 @@
     }
     Progress &progress = found->second;
     const wire::SnapshotReply &reply = message.snapshot_reply();
-    this->noteAnswer(progress, reply.round());
+    this->recordAnswer(progress, reply.round());
     this->checkConfirms();
     if (progress.snapshot == nullptr || reply.last_index() != progress.snapshot->lastIndex) {
         return;
--- a/src/report/BurnJson.cpp
+++ b/src/report/BurnJson.cpp
@@ -48,7 +48,7 @@
             {"p50_ns", latency.p50.count()},
             {"p99_ns", latency.p99.count()},
             {"p999_ns", latency.p999.count()},
-            {"max_ns", latency.most.count()}};
+            {"max_ns", latency.maximum.count()}};
 }
 
 LatencySummary toLatency(const Json &json)
@@ -61,7 +61,7 @@
             .p50 = time("p50_ns"),
             .p99 = time("p99_ns"),
             .p999 = time("p999_ns"),
-            .most = time("max_ns")};
+            .maximum = time("max_ns")};
 }
 
 Json toJson(const ServiceReport &service)
--- a/src/report/BurnReport.cpp
+++ b/src/report/BurnReport.cpp
@@ -73,7 +73,7 @@
     if (service.latency.count > 0) {
         text += "  answers of the last minutes: p50 " + milliseconds(service.latency.p50) + ", p99 "
                 + milliseconds(service.latency.p99) + ", p99.9 " + milliseconds(service.latency.p999) + ", longest "
-                + milliseconds(service.latency.most) + "\n";
+                + milliseconds(service.latency.maximum) + "\n";
     }
     for (std::size_t i = 0; i < std::min(service.blames.size(), MostBlamesShown); ++i) {
         const BlameReport &blame = service.blames[i];
@@ -95,7 +95,7 @@
     into.p50 = std::max(into.p50, from.p50);
     into.p99 = std::max(into.p99, from.p99);
     into.p999 = std::max(into.p999, from.p999);
-    into.most = std::max(into.most, from.most);
+    into.maximum = std::max(into.maximum, from.maximum);
 }
 
 void mergeBlames(std::vector<BlameReport> &into, const std::vector<BlameReport> &from)
--- a/src/report/BurnState.cpp
+++ b/src/report/BurnState.cpp
@@ -17,7 +17,7 @@
 constexpr std::chrono::minutes BlameWidthSixHours{30};
 constexpr std::size_t BlameBuckets = 12;
 
-Counts toCounts(const RequestEnd &end, const table::ServicePolicy &objectives)
+Counts toCounts(const CompletedRequest &end, const table::ServicePolicy &objectives)
 {
     Counts counts{.total = 1};
     counts.refused = end.outcome == Outcome::Refused ? 1 : 0;
@@ -26,13 +26,13 @@
     return counts;
 }
 
-Blame &blameOf(ServiceBurn &service, const RequestEnd &end)
+Blame &blameOf(ServiceBurn &service, const CompletedRequest &end)
 {
     std::pair<std::string, std::string> place(end.failureDomain, end.upstream);
     if (end.upstream.empty()) {
         place = {NoUpstream, NoUpstream};
     }
-    if (service.blames.size() >= MostBlamed && !service.blames.contains(place)) {
+    if (service.blames.size() >= MaxBlamed && !service.blames.contains(place)) {
         place = {OtherUpstreams, OtherUpstreams};
     }
     return service.blames[place];
@@ -77,7 +77,7 @@
     }
 }
 
-void record(BurnState &state, const RequestEnd &end, BootTime now)
+void record(BurnState &state, const CompletedRequest &end, BootTime now)
 {
     const auto found = state.services.find(end.service);
     if (found == state.services.end() || end.outcome == Outcome::CallerFault) {
--- a/src/report/LatencyStatistics.cpp
+++ b/src/report/LatencyStatistics.cpp
@@ -73,10 +73,10 @@
     }
     summary.count = acc::count(set);
     summary.mean = toTime(acc::mean(set));
-    summary.most = toTime((acc::max)(set));
+    summary.maximum = toTime((acc::max)(set));
     if (summary.count < LeastSamples) {
         // Too few for an estimate: the honest bound is the largest one.
-        summary.p50 = summary.p99 = summary.p999 = summary.most;
+        summary.p50 = summary.p99 = summary.p999 = summary.maximum;
         return summary;
     }
     const auto estimates = acc::extended_p_square(set);
--- a/src/rpc/Channel.cpp
+++ b/src/rpc/Channel.cpp
@@ -20,9 +20,9 @@
 std::shared_ptr<grpc::Channel> openChannel(const std::string &address, const ChannelSettings &settings)
 {
     grpc::ChannelArguments arguments;
-    setMillis(arguments, GRPC_ARG_INITIAL_RECONNECT_BACKOFF_MS, settings.firstReconnect);
+    setMillis(arguments, GRPC_ARG_INITIAL_RECONNECT_BACKOFF_MS, settings.minReconnectBackoff);
     setMillis(arguments, GRPC_ARG_MIN_RECONNECT_BACKOFF_MS, settings.connectTimeout);
-    setMillis(arguments, GRPC_ARG_MAX_RECONNECT_BACKOFF_MS, settings.longestReconnect);
+    setMillis(arguments, GRPC_ARG_MAX_RECONNECT_BACKOFF_MS, settings.maxReconnectBackoff);
     if (settings.ping.count() > 0) {
         setMillis(arguments, GRPC_ARG_KEEPALIVE_TIME_MS, settings.ping);
         setMillis(arguments, GRPC_ARG_KEEPALIVE_TIMEOUT_MS, settings.pingTimeout);
@@ -32,8 +32,8 @@
     arguments.SetInt(GRPC_ARG_USE_LOCAL_SUBCHANNEL_POOL, 1);
     arguments.SetInt(GRPC_ARG_ENABLE_HTTP_PROXY, 0);
     arguments.SetInt(GRPC_ARG_ENABLE_RETRIES, 0);
-    arguments.SetMaxReceiveMessageSize(settings.mostMessageBytes);
-    arguments.SetMaxSendMessageSize(settings.mostMessageBytes);
+    arguments.SetMaxReceiveMessageSize(settings.maxMessageBytes);
+    arguments.SetMaxSendMessageSize(settings.maxMessageBytes);
     return grpc::CreateCustomChannel("ipv4:" + address, grpc::InsecureChannelCredentials(), arguments);
 }
 
--- a/src/rpc/ControlSession.cpp
+++ b/src/rpc/ControlSession.cpp
@@ -159,17 +159,17 @@
 ControlSession::ControlSession(loop::EventLoop &loop,
                                std::vector<std::string> addresses,
                                ControlSessionEvents events,
-                               ControlSessionPatience patience)
+                               ControlSessionTimeouts timeouts)
     : loop(loop)
     , addresses(std::move(addresses))
     , events(std::move(events))
-    , patience(patience)
+    , timeouts(timeouts)
     , connections(std::make_unique<ReplicaConnections>())
-    , random(patience.seed)
+    , random(timeouts.seed)
     , firstAddress(this->random(static_cast<std::uint32_t>(this->addresses.size())))
     , alive(std::make_shared<bool>(true))
 {
-    this->silenceTimer = this->loop.every(this->patience.silence / 4, [this] {
+    this->silenceTimer = this->loop.every(this->timeouts.silenceTimeout / 4, [this] {
         this->checkSilence();
     });
     this->loop.post([this, life = std::weak_ptr<bool>(this->alive)] {
@@ -200,7 +200,7 @@
     }
 }
 
-void ControlSession::learn(const std::vector<std::string> &replicas)
+void ControlSession::addAddresses(const std::vector<std::string> &replicas)
 {
     for (const std::string &replica : replicas) {
         if (std::find(this->addresses.begin(), this->addresses.end(), replica) == this->addresses.end()) {
@@ -266,20 +266,20 @@
     return stub;
 }
 
-std::chrono::nanoseconds ControlSession::openingPatience() const
+std::chrono::nanoseconds ControlSession::currentOpenTimeout() const
 {
     const std::chrono::nanoseconds expected = this->connections->answerTime(this->currentAddress);
-    return std::max<std::chrono::nanoseconds>(grown(this->patience.opening, this->unanswered), expected);
+    return std::max<std::chrono::nanoseconds>(exponentialDelay(this->timeouts.openTimeout, this->unanswered), expected);
 }
 
 void ControlSession::connect(const std::string &address, std::shared_ptr<wire::Control::Stub> stub)
 {
-    this->leave();
+    this->disconnect();
     const SessionId name = ++this->session;
     this->accepted = false;
     this->lastHeard = BootClock::now();
-    this->soughtAt = this->lastHeard;
-    this->askedAt[address] = this->soughtAt;
+    this->searchStartedAt = this->lastHeard;
+    this->askedAt[address] = this->searchStartedAt;
     const std::weak_ptr<bool> life = this->alive;
     Log.event(loop::LogLevel::Info, "session sought")
         .with("replica", address)
@@ -304,7 +304,7 @@
     wire::AgentMessage first;
     *first.mutable_hello() = this->events.hello();
     this->stream->start(first);
-    this->loop.after(this->openingPatience(), [this, life, name] {
+    this->loop.after(this->currentOpenTimeout(), [this, life, name] {
         if (!life.expired()) {
             this->checkOpening(name);
         }
@@ -316,14 +316,14 @@
 void ControlSession::checkOpening(SessionId name)
 {
     if (name == this->session && this->stream && !this->opened && !this->accepted) {
-        this->logLeft("no answer");
+        this->logDisconnect("no answer");
         ++this->unanswered;
-        this->connections->dropReadyBefore(this->soughtAt);
+        this->connections->dropReadyBefore(this->searchStartedAt);
         this->ended(name);
     }
 }
 
-void ControlSession::leave()
+void ControlSession::disconnect()
 {
     if (!this->stream) {
         return;
@@ -344,11 +344,11 @@
 {
     this->namedLeader = leader;
     if (!this->connections->ready(leader, BootClock::now())) {
-        this->logLeft("names a leader without a connection");
+        this->logDisconnect("names a leader without a connection");
         this->ended(this->session);
         return;
     }
-    this->leave();
+    this->disconnect();
     this->seek();
 }
 
@@ -362,7 +362,7 @@
     if (message.has_redirect()) {
         const std::string leader = message.redirect().leader_address();
         if (leader.empty() || leader == this->currentAddress || this->isAvoided(leader)) {
-            this->logLeft(leader.empty() ? "knows no leader" : "names an unusable leader");
+            this->logDisconnect(leader.empty() ? "knows no leader" : "names an unusable leader");
             this->ended(name);
             return;
         }
@@ -377,7 +377,7 @@
         this->opened = true;
         Log.event(loop::LogLevel::Info, "session open")
             .with("replica", this->currentAddress)
-            .with("took_ms", this->lastHeard - this->soughtAt);
+            .with("took_ms", this->lastHeard - this->searchStartedAt);
         this->failures = 0;
         this->namedLeader.clear();
         this->connections->keepOnly(this->currentAddress);
@@ -393,7 +393,7 @@
     });
 }
 
-void ControlSession::logLeft(const char *why) const
+void ControlSession::logDisconnect(const char *why) const
 {
     Log.event(loop::LogLevel::Warn, "replica left")
         .with("replica", this->currentAddress)
@@ -401,13 +401,13 @@
         .with("opened", this->opened)
         .with("accepted", this->accepted)
         .with("silent_ms", BootClock::now() - this->lastHeard)
-        .with("took_ms", BootClock::now() - this->soughtAt);
+        .with("took_ms", BootClock::now() - this->searchStartedAt);
 }
 
 void ControlSession::streamEnded(SessionId name)
 {
     if (name == this->session && this->stream) {
-        this->logLeft("stream ended");
+        this->logDisconnect("stream ended");
     }
     this->ended(name);
 }
@@ -419,22 +419,23 @@
         return;
     }
     this->failures += this->opened ? 0 : 1;
-    this->leave();
+    this->disconnect();
     this->loop.cancel(this->seekTimer);
-    const auto pause = nextPause(this->patience.pause, std::max(this->failures, 1U), this->random);
+    const auto pause = nextBackoff(this->timeouts.retryBackoff, std::max(this->failures, 1U), this->random);
     this->seekTimer = this->loop.after(pause, [this] {
         this->seek();
     });
 }
 
 /** @return how long the replica may say nothing; a state that comes slowly is waited for longer after each failure */
-std::chrono::milliseconds ControlSession::longestSilence() const
+std::chrono::milliseconds ControlSession::maxSilence() const
 {
     if (this->opened || !this->accepted) {
-        return this->patience.silence;
+        return this->timeouts.silenceTimeout;
     }
-    return grown({this->patience.silence, std::max(this->patience.silence, this->patience.longestSilence)},
-                 this->failures);
+    return exponentialDelay(
+        {this->timeouts.silenceTimeout, std::max(this->timeouts.silenceTimeout, this->timeouts.maxSilence)},
+        this->failures);
 }
 
 // Guards against a leader that is frozen or behind a silent partition: its TCP connection stays up and nothing
@@ -443,13 +444,13 @@
 void ControlSession::checkSilence()
 {
     this->freeEndedStreams();
-    if (!this->stream || BootClock::now() - this->lastHeard < this->longestSilence()) {
+    if (!this->stream || BootClock::now() - this->lastHeard < this->maxSilence()) {
         return;
     }
-    this->logLeft("silent");
-    this->connections->dropReadyBefore(std::max(this->soughtAt, this->lastHeard));
+    this->logDisconnect("silent");
+    this->connections->dropReadyBefore(std::max(this->searchStartedAt, this->lastHeard));
     this->avoidedAddress = this->currentAddress;
-    this->avoidedUntil = BootClock::now() + this->patience.avoidance;
+    this->avoidedUntil = BootClock::now() + this->timeouts.avoidFor;
     this->ended(this->session);
 }
 
--- a/src/rpc/RaftTransport.cpp
+++ b/src/rpc/RaftTransport.cpp
@@ -191,10 +191,10 @@
 ChannelSettings channelSettings()
 {
     ChannelSettings settings;
-    settings.mostMessageBytes = static_cast<int>(RaftTransport::MaxMessageBytes);
+    settings.maxMessageBytes = static_cast<int>(RaftTransport::MaxMessageBytes);
     settings.connectTimeout = ConnectTimeout;
-    settings.firstReconnect = ReconnectPause;
-    settings.longestReconnect = MaxReconnectBackoff;
+    settings.minReconnectBackoff = ReconnectPause;
+    settings.maxReconnectBackoff = MaxReconnectBackoff;
     settings.ping = PingInterval;
     settings.pingTimeout = PingTimeout;
     return settings;
--- a/src/table/CallerIdentity.cpp
+++ b/src/table/CallerIdentity.cpp
@@ -4,14 +4,14 @@
 
 CallerIdentity identify(const RouteTable &routes, const Route &route, const std::vector<Credentials> &credentials)
 {
-    if (!routes.callersNeedKeys()) {
+    if (!routes.requiresCallerKeys()) {
         return {};
     }
     if (credentials.size() > 1) {
         return {KeyVerdict::Missing};
     }
     if (credentials.empty() || !credentials.front().ownScheme) {
-        return {route.keylessCallers ? KeyVerdict::Anonymous : KeyVerdict::Missing};
+        return {route.allowsKeylessCallers ? KeyVerdict::Anonymous : KeyVerdict::Missing};
     }
     if (credentials.front().key.empty()) {
         return {KeyVerdict::Missing};
--- a/src/table/ChangeWarnings.cpp
+++ b/src/table/ChangeWarnings.cpp
@@ -6,7 +6,7 @@
 
 namespace bergamotweir::table {
 
-bool inService(const Table &table, const Marks &marks, const KnownUpstream &upstream)
+bool isInService(const Table &table, const Marks &marks, const KnownUpstream &upstream)
 {
     const UpstreamPolicy policy = table.upstream(upstream.service, upstream.failureDomain, upstream.name);
     return table.hasService(upstream.service) && policy.inService && policy.weight > 0
@@ -27,11 +27,11 @@
     std::map<std::string, Count> counts;
     for (const KnownUpstream &upstream : known) {
         Count &count = counts[upstream.service];
-        if (inService(before, marksBefore, upstream)) {
+        if (isInService(before, marksBefore, upstream)) {
             ++count.before;
             count.domainsBefore.insert(upstream.failureDomain);
         }
-        count.after += inService(after, marksAfter, upstream) ? 1 : 0;
+        count.after += isInService(after, marksAfter, upstream) ? 1 : 0;
     }
     Findings findings;
     for (const auto &[service, count] : counts) {
--- a/src/table/LimitBounds.cpp
+++ b/src/table/LimitBounds.cpp
@@ -10,7 +10,7 @@
     return workspace.ratePerSecond > 0;
 }
 
-double mostInWindow(const Workspace &workspace, const LimitBounds &bounds)
+double maxInWindow(const Workspace &workspace, const LimitBounds &bounds)
 {
     const double seconds = std::chrono::duration<double>(bounds.window).count();
     const double most = workspace.ratePerSecond * seconds + workspace.burst;
--- a/src/table/RouteKind.cpp
+++ b/src/table/RouteKind.cpp
@@ -2,7 +2,7 @@
 
 namespace bergamotweir::table {
 
-bool mayRepeat(RouteKind kind)
+bool canRetry(RouteKind kind)
 {
     return kind == RouteKind::Idempotent;
 }
--- a/src/table/RouteTable.cpp
+++ b/src/table/RouteTable.cpp
@@ -49,7 +49,7 @@
     for (const wire::RoutePart &part : from.parts()) {
         route.parts.push_back({part.service(), part.weight()});
     }
-    route.keylessCallers = from.keyless_callers();
+    route.allowsKeylessCallers = from.keyless_callers();
     return route;
 }
 
@@ -228,7 +228,7 @@
     /** By host, longest prefix first. */
     std::unordered_map<std::string, std::vector<Route>> byHost;
     std::map<std::string, RoutedService, std::less<>> services;
-    bool callersNeedKeys = false;
+    bool requiresCallerKeys = false;
     std::string digestKey;
     std::map<std::string, Workspace, std::less<>> workspaces;
     std::unordered_map<std::string, const Workspace *, DigestHash, DigestEqual> byKeyDigest;
@@ -255,7 +255,7 @@
     for (const wire::RoutedService &service : routes.services()) {
         made->services[service.name()] = fromWire(service);
     }
-    made->callersNeedKeys = routes.callers_need_keys();
+    made->requiresCallerKeys = routes.callers_need_keys();
     made->digestKey = routes.digest_key();
     for (const wire::Workspace &workspace : routes.workspaces()) {
         Workspace &read = made->workspaces[workspace.name()];
@@ -295,9 +295,9 @@
     return this->content->services;
 }
 
-bool RouteTable::callersNeedKeys() const
+bool RouteTable::requiresCallerKeys() const
 {
-    return this->content->callersNeedKeys;
+    return this->content->requiresCallerKeys;
 }
 
 const Workspace *RouteTable::workspaceOf(std::string_view key) const
@@ -340,7 +340,7 @@
     return findings;
 }
 
-Findings findingsIn(const wire::RouteTable &routes)
+Findings validateRoutes(const wire::RouteTable &routes)
 {
     Findings findings;
     std::set<std::string> services;
--- a/tests/AgentMetricsTest.cpp
+++ b/tests/AgentMetricsTest.cpp
@@ -40,6 +40,6 @@
     for (std::size_t at = 0; (at = text.find("bergamotweir_requests_total{", at)) != std::string::npos; ++at) {
         ++series;
     }
-    CHECK(series == AgentMetrics::MostNames + 1);
+    CHECK(series == AgentMetrics::MaxNames + 1);
     CHECK(text.find("route=\"other\"") != std::string::npos);
 }
--- a/tests/AgentReportTest.cpp
+++ b/tests/AgentReportTest.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-process::RequestEndNote endOf(int status, bool refused)
+process::RequestSummary endOf(int status, bool refused)
 {
     return {.service = "fees", .upstream = 7, .status = status, .refused = refused, .latency = 1ms};
 }
--- a/tests/AssignmentTest.cpp
+++ b/tests/AssignmentTest.cpp
@@ -74,7 +74,7 @@
     {
         all[2].weight = 0.5;
     }
-    const double least = leastChurn(all, slices);
+    const double least = minChurn(all, slices);
     const double moved = carryOut(slices, assign(all, slices));
     REQUIRE(least > 0);
     REQUIRE(moved <= least * 1.1);
--- a/tests/BodyQueueTest.cpp
+++ b/tests/BodyQueueTest.cpp
@@ -70,14 +70,14 @@
     BootTime next = Start;
     for (BootTime now = Start; now < Start + 60s; now += Step) {
         for (const AnnouncedBody &body : link.advance()) {
-            (now <= body.receiveBy ? outcome.inTime : outcome.late)++;
+            (now <= body.receiveDeadline ? outcome.inTime : outcome.late)++;
             for (const BodyId id : finish(queue, body.id, true, now).admitted) {
                 link.begin(waiting.at(id));
             }
         }
         while (next <= now) {
             const AnnouncedBody body{++outcome.arrived, BodyBytes, now + patience};
-            const Admission admission = arrive(queue, body, now);
+            const Admission admission = requestAdmission(queue, body, now);
             if (admission == Admission::Admitted) {
                 link.begin(body);
             } else if (admission == Admission::Queued) {
@@ -101,7 +101,7 @@
     CHECK(outcome.arrived > 900);
     CHECK(carried > 0.9);
     CHECK(outcome.late <= outcome.inTime / 50);
-    CHECK(outcome.mostOnLink <= MostBodiesReceiving);
+    CHECK(outcome.mostOnLink <= MaxBodiesReceiving);
 }
 
 TEST_CASE("a link with room refuses hardly any body")
@@ -114,21 +114,21 @@
 TEST_CASE("a free link takes a body whatever rate was learnt")
 {
     BodyQueue queue;
-    REQUIRE(arrive(queue, {1, BodyBytes, Start + 1s}, Start) == Admission::Admitted);
+    REQUIRE(requestAdmission(queue, {1, BodyBytes, Start + 1s}, Start) == Admission::Admitted);
     finish(queue, 1, true, Start + 30s);
     CHECK(transferTime(queue, BodyBytes) == 30s);
-    CHECK(arrive(queue, {2, BodyBytes, Start + 31s}, Start + 30s) == Admission::Admitted);
-    CHECK(arrive(queue, {3, BodyBytes, Start + 31s}, Start + 30s) == Admission::NoRoom);
+    CHECK(requestAdmission(queue, {2, BodyBytes, Start + 31s}, Start + 30s) == Admission::Admitted);
+    CHECK(requestAdmission(queue, {3, BodyBytes, Start + 31s}, Start + 30s) == Admission::Overloaded);
 }
 
 // Guards against room that is lost with a sender that went away, on the link or waiting.
 TEST_CASE("a sender that goes away gives its room back")
 {
     BodyQueue queue;
-    REQUIRE(arrive(queue, {1, BodyBytes, Start + 5s}, Start) == Admission::Admitted);
-    REQUIRE(arrive(queue, {2, BodyBytes, Start + 5s}, Start) == Admission::Admitted);
-    REQUIRE(arrive(queue, {3, BodyBytes, Start + 5s}, Start) == Admission::Queued);
-    REQUIRE(arrive(queue, {4, BodyBytes, Start + 5s}, Start) == Admission::Queued);
+    REQUIRE(requestAdmission(queue, {1, BodyBytes, Start + 5s}, Start) == Admission::Admitted);
+    REQUIRE(requestAdmission(queue, {2, BodyBytes, Start + 5s}, Start) == Admission::Admitted);
+    REQUIRE(requestAdmission(queue, {3, BodyBytes, Start + 5s}, Start) == Admission::Queued);
+    REQUIRE(requestAdmission(queue, {4, BodyBytes, Start + 5s}, Start) == Admission::Queued);
     CHECK(finish(queue, 3, false, Start + 1ms).admitted.empty());
     CHECK(finish(queue, 1, false, Start + 2ms).admitted == std::vector<BodyId>{4});
     CHECK(queue.meanInterval == 0ns);
@@ -138,10 +138,10 @@
 TEST_CASE("senders that stall don't keep others out")
 {
     BodyQueue queue;
-    REQUIRE(arrive(queue, {1, BodyBytes, Start + 9s}, Start) == Admission::Admitted);
-    REQUIRE(arrive(queue, {2, BodyBytes, Start + 9s}, Start) == Admission::Admitted);
-    REQUIRE(arrive(queue, {3, BodyBytes, Start + 9s}, Start) == Admission::Queued);
-    CHECK(move(queue, Start + LongestTransfer).admitted.empty());
-    CHECK(move(queue, Start + LongestTransfer + 1ms).admitted == std::vector<BodyId>{3});
+    REQUIRE(requestAdmission(queue, {1, BodyBytes, Start + 9s}, Start) == Admission::Admitted);
+    REQUIRE(requestAdmission(queue, {2, BodyBytes, Start + 9s}, Start) == Admission::Admitted);
+    REQUIRE(requestAdmission(queue, {3, BodyBytes, Start + 9s}, Start) == Admission::Queued);
+    CHECK(processQueue(queue, Start + MaxTransferTime).admitted.empty());
+    CHECK(processQueue(queue, Start + MaxTransferTime + 1ms).admitted == std::vector<BodyId>{3});
     CHECK(finish(queue, 1, true, Start + 3s).admitted.empty());
 }
--- a/tests/BurnReportTest.cpp
+++ b/tests/BurnReportTest.cpp
@@ -21,7 +21,7 @@
     return state;
 }
 
-RequestEnd feesEnd(Outcome outcome, std::chrono::nanoseconds latency = 1ms, std::string_view upstream = "f1")
+CompletedRequest feesEnd(Outcome outcome, std::chrono::nanoseconds latency = 1ms, std::string_view upstream = "f1")
 {
     return {"fees", upstream, "bne-a", outcome, latency};
 }
@@ -91,9 +91,9 @@
         record(state, feesEnd(Outcome::Failed, 1ms, "f" + std::to_string(i)), Start);
     }
     const ServiceReport fees = feesReport(state, Start);
-    CHECK(fees.blames.size() == MostBlamed + 1);
+    CHECK(fees.blames.size() == MaxBlamed + 1);
     CHECK(fees.blames.front().upstream == OtherUpstreams);
-    CHECK(fees.blames.front().hour.failed == 3000 - MostBlamed);
+    CHECK(fees.blames.front().hour.failed == 3000 - MaxBlamed);
 }
 
 TEST_CASE("latency quantiles are near the exact ones and forget old periods")
@@ -112,7 +112,7 @@
     CHECK(summary.count == 100000);
     CHECK(summary.p50.count() == Approx(50e6).epsilon(0.02));
     CHECK(summary.p99.count() == Approx(99e6).epsilon(0.02));
-    CHECK(summary.most == 100ms);
+    CHECK(summary.maximum == 100ms);
     CHECK(statistics.summary(now + 2 * LatencyStatistics::Period).count == 0);
 }
 
--- a/tests/ControlPump.cpp
+++ b/tests/ControlPump.cpp
@@ -167,7 +167,7 @@
     Leader &own = *this->leaders[leader];
     own.coordinator.applied(own.state.apply(version, command));
     if (proposal != 0) {
-        own.coordinator.proposed(proposal, control::ProposalEnd::Applied);
+        own.coordinator.proposed(proposal, control::ProposalOutcome::Applied);
     }
     this->takeActions(leader);
     this->event();
--- a/tests/ControlSessionTest.cpp
+++ b/tests/ControlSessionTest.cpp
@@ -145,7 +145,7 @@
     };
     events.message = [](rpc::SessionId, const wire::ControlMessage &) {};
     events.closed = [](rpc::SessionId) {};
-    const rpc::ControlSession session(*loop, addresses, events, {.silence = 1500ms, .seed = 7});
+    const rpc::ControlSession session(*loop, addresses, events, {.silenceTimeout = 1500ms, .seed = 7});
     stopAfter(*loop, TestLimit);
     loop->run();
     return without;
@@ -312,8 +312,8 @@
     events.message = [](rpc::SessionId, const wire::ControlMessage &) {};
     events.closed = [](rpc::SessionId) {};
     rpc::ControlSession session(
-        *loop, {first.address(), second.address()}, events, {.silence = 5s, .opening = {200ms, 800ms}});
-    session.learn({leader.address(), first.address()});
+        *loop, {first.address(), second.address()}, events, {.silenceTimeout = 5s, .openTimeout = {200ms, 800ms}});
+    session.addAddresses({leader.address(), first.address()});
     const auto begun = std::chrono::steady_clock::now();
     stopAfter(*loop, 10s);
     loop->run();
@@ -337,7 +337,7 @@
     events.message = [](rpc::SessionId, const wire::ControlMessage &) {};
     events.closed = [](rpc::SessionId) {};
     const rpc::ControlSession session(
-        *loop, {leader.address()}, events, {.silence = 250ms, .opening = {100ms, 100ms}, .longestSilence = 2s});
+        *loop, {leader.address()}, events, {.silenceTimeout = 250ms, .openTimeout = {100ms, 100ms}, .maxSilence = 2s});
     stopAfter(*loop, 10s);
     loop->run();
     CHECK(opened);
@@ -376,7 +376,7 @@
     events.closed = [](rpc::SessionId) {};
     const auto begun = std::chrono::steady_clock::now();
     const rpc::ControlSession session(
-        *loop, {followerProxy.address(), proxy.address()}, events, {.silence = 1500ms, .seed = 7});
+        *loop, {followerProxy.address(), proxy.address()}, events, {.silenceTimeout = 1500ms, .seed = 7});
     stopAfter(*loop, TestLimit);
     loop->run();
     CHECK(opened);
@@ -406,7 +406,7 @@
         *loop,
         {dead[0].address(), dead[1].address(), dead[2].address(), follower.address(), leader.address()},
         events,
-        {.silence = 1500ms, .seed = 7});
+        {.silenceTimeout = 1500ms, .seed = 7});
     stopAfter(*loop, TestLimit);
     loop->run();
     CHECK(opened);
--- a/tests/ControlStateTest.cpp
+++ b/tests/ControlStateTest.cpp
@@ -140,7 +140,7 @@
     }
     REQUIRE(log.state.tables().text(1) == nullptr);
     REQUIRE(log.state.tables().text(10) != nullptr);
-    REQUIRE(log.state.snapshot().size() < control::TableHistory::MostTableBytes + Megabyte);
+    REQUIRE(log.state.snapshot().size() < control::TableHistory::MaxStoredTableBytes + Megabyte);
 }
 
 // A leader that is behind proposes an owner from an older assignment; applied, it would take back a newer owner while
@@ -157,7 +157,7 @@
     SECTION("a split keeps owner and epoch; a merge goes beyond both epochs")
     {
         REQUIRE(log.assign(100, 8, 2));
-        REQUIRE(log.state.services().at("catalogue").slices().size() == control::State::FirstSlices + 1);
+        REQUIRE(log.state.services().at("catalogue").slices().size() == control::State::InitialSlices + 1);
         REQUIRE(log.assign(100, 9, 3));
         wire::Command merge;
         merge.mutable_assign()->set_service("catalogue");
--- a/tests/CoordinatorGuardTest.cpp
+++ b/tests/CoordinatorGuardTest.cpp
@@ -67,7 +67,7 @@
         for (this->collect(); !this->proposals.empty(); this->collect()) {
             for (const control::ProposeAction &proposal : std::exchange(this->proposals, {})) {
                 this->commit(proposal.command);
-                this->coordinator.proposed(proposal.proposal, control::ProposalEnd::Applied);
+                this->coordinator.proposed(proposal.proposal, control::ProposalOutcome::Applied);
             }
             this->coordinator.tick(this->now);
         }
@@ -262,7 +262,7 @@
 TEST_CASE("control: where an address proves the end of the process before it, only one at another address waits")
 {
     control::CoordinatorSettings settings;
-    settings.addressProvesEnd = true;
+    settings.addressReuseProvesExit = true;
     Led led(true, settings);
     led.renew(1);
     led.open(3, "a", "second");
@@ -360,7 +360,7 @@
 {
     const bool sameAddress = GENERATE(true, false);
     control::CoordinatorSettings settings;
-    settings.addressProvesEnd = true;
+    settings.addressReuseProvesExit = true;
     settings.announceGrace = 3s;
     Led led(true, settings);
     led.announce(1, "before", true, sameAddress ? 1000 : 0);
@@ -384,9 +384,9 @@
 TEST_CASE("control: the process that took an ended one's address gets its slices without a release")
 {
     control::CoordinatorSettings settings;
-    settings.addressProvesEnd = true;
+    settings.addressReuseProvesExit = true;
     settings.announceGrace = 3s;
-    settings.settle = 0ms;
+    settings.rebalanceDelay = 0ms;
     Led led(true, settings);
     led.announce(1, "before", true, 1000);
     for (int round = 0; round < 20; ++round) {
--- a/tests/CrashWatchTest.cpp
+++ b/tests/CrashTrackerTest.cpp
@@ -1,4 +1,4 @@
-#include "agent/CrashWatch.h"
+#include "agent/CrashTracker.h"
 
 #include <catch2/catch.hpp>
 
@@ -21,11 +21,11 @@
     return suspects;
 }
 
-wire::ReportCrash crashWith(CrashWatch &watch, const std::set<std::uint64_t> &broken, const char *incarnation)
+wire::ReportCrash crashWith(CrashTracker &tracker, const std::set<std::uint64_t> &broken, const char *incarnation)
 {
-    wire::ReportCrash report = crashed(watch, broken, incarnation, 1s);
+    wire::ReportCrash report = recordCrash(tracker, broken, incarnation, 1s);
     for (const std::uint64_t value : broken) {
-        ended(watch, value, false);
+        recordEnd(tracker, value, false);
     }
     return report;
 }
@@ -35,33 +35,33 @@
 // A popular timetable lookup is refused everywhere: it was in progress at both crashes, as it always is.
 TEST_CASE("what upstreams have answered before is not suspected")
 {
-    CrashWatch watch;
-    began(watch, Popular);
-    ended(watch, Popular, true);
+    CrashTracker tracker;
+    recordBegin(tracker, Popular);
+    recordEnd(tracker, Popular, true);
     for (const std::uint64_t value : {Poison, Innocent, Popular}) {
-        began(watch, value);
+        recordBegin(tracker, value);
     }
-    REQUIRE(suspectsOf(crashWith(watch, {Poison, Innocent, Popular}, "i1")) == std::set{Poison, Innocent});
+    REQUIRE(suspectsOf(crashWith(tracker, {Poison, Innocent, Popular}, "i1")) == std::set{Poison, Innocent});
 }
 
 // An enrolment is refused everywhere as a crasher: it was resent together with the real one, beside which it had been
 // in progress at the first crash, and was in progress again at the second.
 TEST_CASE("suspects run one at a time, so that a second crash blames one alone")
 {
-    CrashWatch watch;
-    began(watch, Poison);
-    began(watch, Innocent);
-    crashWith(watch, {Poison, Innocent}, "i1");
-    REQUIRE(mayRun(watch, Innocent));
-    began(watch, Innocent);
-    REQUIRE_FALSE(mayRun(watch, Poison));
-    REQUIRE(mayRun(watch, Popular));
-    ended(watch, Innocent, true);
-    REQUIRE(mayRun(watch, Poison));
-    began(watch, Poison);
-    began(watch, Popular);
-    REQUIRE(mayRun(watch, Innocent));
-    REQUIRE(suspectsOf(crashWith(watch, {Poison, Popular}, "i2")) == std::set{Poison});
+    CrashTracker tracker;
+    recordBegin(tracker, Poison);
+    recordBegin(tracker, Innocent);
+    crashWith(tracker, {Poison, Innocent}, "i1");
+    REQUIRE(canRun(tracker, Innocent));
+    recordBegin(tracker, Innocent);
+    REQUIRE_FALSE(canRun(tracker, Poison));
+    REQUIRE(canRun(tracker, Popular));
+    recordEnd(tracker, Innocent, true);
+    REQUIRE(canRun(tracker, Poison));
+    recordBegin(tracker, Poison);
+    recordBegin(tracker, Popular);
+    REQUIRE(canRun(tracker, Innocent));
+    REQUIRE(suspectsOf(crashWith(tracker, {Poison, Popular}, "i2")) == std::set{Poison});
 }
 
 TEST_CASE("fingerprints tell apart what differs in one part only, and memory of them is bounded")
@@ -70,7 +70,7 @@
     REQUIRE(fingerprint({"s", "ka", "GET", "/a", ""}) != fingerprint({"sk", "a", "GET", "/a", ""}));
     REQUIRE(fingerprint({"s", "k", "GET", "/a", "b"}) != fingerprint({"s", "k", "GET", "/ab", ""}));
     RecentFingerprints recent;
-    recent.most = 2;
+    recent.capacity = 2;
     for (const std::uint64_t value : {Poison, Innocent, Popular}) {
         remember(recent, value);
     }
--- a/tests/ExpectedBodyTest.cpp
+++ b/tests/ExpectedBodyTest.cpp
@@ -14,7 +14,7 @@
 {
     HttpCall call = bench.call("POST");
     call.body = std::string(bytes, 'b');
-    call.awaitContinue = true;
+    call.expectContinue = true;
     return call;
 }
 
@@ -48,7 +48,7 @@
         return std::nullopt;
     });
     const CallResult result = bench.send(announcedCall(bench));
-    CHECK(result.end == CallEnd::Answered);
+    CHECK(result.outcome == CallOutcome::Answered);
     CHECK(result.answer.status == 200);
     CHECK(result.elapsed < 1s);
     CHECK(announced == 900);
@@ -76,7 +76,7 @@
         return std::nullopt;
     });
     const CallResult result = bench.send(announcedCall(bench));
-    CHECK(result.end == CallEnd::Answered);
+    CHECK(result.outcome == CallOutcome::Answered);
     CHECK(result.answer.status == 503);
     REQUIRE(findHeader(result.answer.headers, "Request-Ran") != nullptr);
     CHECK(*findHeader(result.answer.headers, "Request-Ran") == "no");
--- a/tests/FakeAgent.cpp
+++ b/tests/FakeAgent.cpp
@@ -77,7 +77,7 @@
 
 void FakeAgent::apply(const wire::StateUpdate &update, std::vector<wire::AgentMessage> &answers)
 {
-    if (agent::apply(this->map, update) == agent::UpdateEnd::Older) {
+    if (agent::apply(this->map, update) == agent::UpdateOutcome::Older) {
         return;
     }
     this->ownership.ownUpstreams.clear();
@@ -91,7 +91,7 @@
         wire::AgentMessage released;
         *released.mutable_released() = agent::resumeReleased(this->ownership, this->map);
         answers.push_back(std::move(released));
-        agent::fullStateApplied(this->lease, this->session);
+        agent::recordFullState(this->lease, this->session);
     }
 }
 
@@ -101,7 +101,7 @@
     if (this->lease.session != 0 && now >= this->nextRenew) {
         this->nextRenew = now + RenewInterval;
         wire::AgentMessage renew;
-        renew.mutable_renew()->set_sequence(agent::noteRenewal(this->lease, this->clock(now)));
+        renew.mutable_renew()->set_sequence(agent::recordRenewal(this->lease, this->clock(now)));
         *renew.mutable_renew()->mutable_in_force() = this->map.version;
         messages.push_back(std::move(renew));
     }
--- a/tests/GateLoadTest.cpp
+++ b/tests/GateLoadTest.cpp
@@ -55,8 +55,8 @@
     Play(std::vector<Kind> kinds, bool byUrgency, unsigned slots = Slots)
         : kinds(std::move(kinds))
         , byUrgency(byUrgency)
-        , gate(
-              makeGate(GateSettingsBuilder().ceiling(slots).connectionPace(0us).adaptive(false).build().value(), Start))
+        , gate(makeGate(GateSettingsBuilder().ceiling(slots).minConnectionInterval(0us).adaptive(false).build().value(),
+                        Start))
         , tallies(this->kinds.size())
     {
     }
@@ -68,12 +68,12 @@
             this->finishUntil(now);
             for (std::size_t kind = 0; kind < this->kinds.size(); ++kind) {
                 while (next[kind] <= now) {
-                    this->arrive(kind, now);
+                    this->requestAdmission(kind, now);
                     next[kind] += std::chrono::duration_cast<BootClock::duration>(
                         std::chrono::duration<double>(-std::log(1 - this->draw()) / this->kinds[kind].perSecond));
                 }
             }
-            this->carryOut(move(this->gate, now), now);
+            this->carryOut(processQueue(this->gate, now), now);
         }
         return this->tallies;
     }
@@ -84,15 +84,16 @@
         return static_cast<double>(this->random()) / 4294967296.0;
     }
 
-    void arrive(std::size_t kind, BootTime now)
+    void requestAdmission(std::size_t kind, BootTime now)
     {
         const Kind &what = this->kinds[kind];
         const TicketId ticket = ++this->last;
         const double spread = std::exp2(2 * this->draw() - 1);
         this->requests[ticket] = {kind, now, std::chrono::duration_cast<std::chrono::nanoseconds>(what.work * spread)};
         ++this->tallies[kind].asked;
-        const Urgency urgency = this->byUrgency ? urgencyOf(what.targets, now) : Urgency{};
-        const Admission admission = agent::arrive(this->gate, {ticket, now + what.targets.timeout, urgency}, now);
+        const QueuePriority queuePriority = this->byUrgency ? queuePriorityOf(what.targets, now) : QueuePriority{};
+        const Admission admission =
+            agent::requestAdmission(this->gate, {ticket, now + what.targets.timeout, queuePriority}, now);
         if (admission == Admission::Admitted) {
             this->start(ticket, now);
         } else if (admission != Admission::Queued) {
@@ -119,14 +120,14 @@
         while (!this->ends.empty() && std::get<0>(this->ends.top()) <= now) {
             const auto [end, ticket, begun] = this->ends.top();
             this->ends.pop();
-            finish(this->gate, WorkEnd::Answered, end - begun, end);
+            finish(this->gate, WorkOutcome::Answered, end - begun, end);
             const Request &request = this->requests.at(ticket);
             const bool inTarget = end - request.acceptedAt <= this->kinds[request.kind].targets.targetLatency;
             this->tallies[request.kind].inTarget += inTarget ? 1 : 0;
         }
     }
 
-    void carryOut(const GateMoves &moves, BootTime now)
+    void carryOut(const GateDecisions &moves, BootTime now)
     {
         for (const TicketId ticket : moves.shed) {
             this->refuse(ticket, now);
@@ -193,20 +194,24 @@
 TEST_CASE("gate: a full queue makes room for what is more urgent, and refuses what is not")
 {
     Gate gate = makeGate(
-        GateSettingsBuilder().ceiling(1).connectionPace(0us).queueLength(2).adaptive(false).build().value(), Start);
-    const auto ticket = [](TicketId id, unsigned priority, std::chrono::milliseconds orderBy) {
-        return Ticket{id, Start + 1s, {.priority = priority, .orderBy = Start + orderBy, .startBy = Start + 200ms}};
+        GateSettingsBuilder().ceiling(1).minConnectionInterval(0us).queueLength(2).adaptive(false).build().value(),
+        Start);
+    const auto ticket = [](TicketId id, unsigned priority, std::chrono::milliseconds targetDeadline) {
+        return Ticket{
+            id,
+            Start + 1s,
+            {.priority = priority, .targetDeadline = Start + targetDeadline, .dispatchDeadline = Start + 200ms}};
     };
-    REQUIRE(arrive(gate, ticket(1, 1, 100ms), Start) == Admission::Admitted);
-    REQUIRE(arrive(gate, ticket(2, 1, 100ms), Start) == Admission::Queued);
-    REQUIRE(arrive(gate, ticket(3, 2, 10ms), Start) == Admission::Queued);
-    REQUIRE(arrive(gate, ticket(4, 3, 10ms), Start) == Admission::NoRoom);
-    REQUIRE(arrive(gate, ticket(5, 1, 50ms), Start) == Admission::Queued);
-    REQUIRE(nextMove(gate) <= Start);
-    REQUIRE(move(gate, Start).shed == std::vector<TicketId>{3});
-    finish(gate, WorkEnd::Answered, 10ms, Start + 10ms);
-    REQUIRE(move(gate, Start + 10ms).admitted == std::vector<TicketId>{5});
-    REQUIRE(move(gate, Start + 200ms).shed.empty());
-    REQUIRE(nextMove(gate) > Start + 200ms);
-    REQUIRE(move(gate, nextMove(gate)).shed == std::vector<TicketId>{2});
+    REQUIRE(requestAdmission(gate, ticket(1, 1, 100ms), Start) == Admission::Admitted);
+    REQUIRE(requestAdmission(gate, ticket(2, 1, 100ms), Start) == Admission::Queued);
+    REQUIRE(requestAdmission(gate, ticket(3, 2, 10ms), Start) == Admission::Queued);
+    REQUIRE(requestAdmission(gate, ticket(4, 3, 10ms), Start) == Admission::Overloaded);
+    REQUIRE(requestAdmission(gate, ticket(5, 1, 50ms), Start) == Admission::Queued);
+    REQUIRE(nextDispatchAt(gate) <= Start);
+    REQUIRE(processQueue(gate, Start).shed == std::vector<TicketId>{3});
+    finish(gate, WorkOutcome::Answered, 10ms, Start + 10ms);
+    REQUIRE(processQueue(gate, Start + 10ms).admitted == std::vector<TicketId>{5});
+    REQUIRE(processQueue(gate, Start + 200ms).shed.empty());
+    REQUIRE(nextDispatchAt(gate) > Start + 200ms);
+    REQUIRE(processQueue(gate, nextDispatchAt(gate)).shed == std::vector<TicketId>{2});
 }
