--- a/tests/GateTest.cpp
+++ b/tests/GateTest.cpp
@@ -12,8 +12,8 @@
 
 Gate warmGate(unsigned ceiling)
 {
-    Gate gate =
-        makeGate(GateSettingsBuilder().ceiling(ceiling).connectionPace(0us).queueLength(4).build().value(), Start);
+    Gate gate = makeGate(
+        GateSettingsBuilder().ceiling(ceiling).minConnectionInterval(0us).queueLength(4).build().value(), Start);
     gate.limit.limit = ceiling;
     gate.limit.phase = LimitPhase::Steady;
     gate.limit.reference = 10ms;
@@ -36,11 +36,11 @@
 BootTime answerFull(Gate &gate, unsigned answers, const Server &server, BootTime now)
 {
     for (unsigned answer = 0; answer < answers; answer++) {
-        while (arrive(gate, {answer + 1, now + 10s}, now) == Admission::Admitted) { }
-        takeAll(gate);
+        while (requestAdmission(gate, {answer + 1, now + 10s}, now) == Admission::Admitted) { }
+        removeAllQueued(gate);
         const auto latency = server.latency(gate.inProgress);
         now += latency / gate.inProgress;
-        finish(gate, WorkEnd::Answered, latency, now);
+        finish(gate, WorkOutcome::Answered, latency, now);
     }
     return now;
 }
@@ -59,12 +59,12 @@
 {
     Gate gate = warmGate(12);
     restart(gate, Start);
-    REQUIRE(arrive(gate, {1, Start + 1s}, Start) == Admission::Admitted);
-    REQUIRE(arrive(gate, {2, Start + 1s}, Start) == Admission::Queued);
-    takeAll(gate);
-    finish(gate, WorkEnd::Answered, 10ms, Start + 10ms);
+    REQUIRE(requestAdmission(gate, {1, Start + 1s}, Start) == Admission::Admitted);
+    REQUIRE(requestAdmission(gate, {2, Start + 1s}, Start) == Admission::Queued);
+    removeAllQueued(gate);
+    finish(gate, WorkOutcome::Answered, 10ms, Start + 10ms);
     const BootTime later = answerFull(gate, 500, {}, Start + 10ms);
-    REQUIRE(allowed(gate.limit) == 12);
+    REQUIRE(allowedConcurrency(gate.limit) == 12);
     REQUIRE(later - Start < 2s);
 }
 
@@ -76,10 +76,10 @@
     BootTime now = Start;
     for (unsigned round = 0; round < 50; round++) {
         now = answerFull(gate, 16, {.slots = 3, .alone = 30ms}, now);
-        REQUIRE(allowed(gate.limit) <= 5);
+        REQUIRE(allowedConcurrency(gate.limit) <= 5);
     }
     now = answerFull(gate, 500, {}, now);
-    REQUIRE(allowed(gate.limit) == 12);
+    REQUIRE(allowedConcurrency(gate.limit) == 12);
     REQUIRE(gate.limit.phase == LimitPhase::Steady);
 }
 
@@ -88,12 +88,12 @@
 {
     Gate gate = warmGate(12);
     BootTime now = answerFull(gate, 100, {}, Start);
-    REQUIRE(allowed(gate.limit) == 12);
+    REQUIRE(allowedConcurrency(gate.limit) == 12);
     now = answerFull(gate, 40, {.slots = 3, .alone = 30ms}, now);
     REQUIRE(gate.limit.phase == LimitPhase::Cold);
-    REQUIRE(allowed(gate.limit) <= 3);
+    REQUIRE(allowedConcurrency(gate.limit) <= 3);
     answerFull(gate, 400, {.slots = 3, .alone = 30ms}, now);
-    REQUIRE(allowed(gate.limit) <= 5);
+    REQUIRE(allowedConcurrency(gate.limit) <= 5);
 }
 
 // An upstream that lost half of its slots to a neighbour stays at full load, and every answer takes twice as long.
@@ -102,7 +102,7 @@
     Gate gate = warmGate(12);
     const BootTime now = answerFull(gate, 100, {}, Start);
     answerFull(gate, 300, {.slots = 6}, now);
-    REQUIRE(allowed(gate.limit) <= 9);
+    REQUIRE(allowedConcurrency(gate.limit) <= 9);
 }
 
 // A key's only owner is slowed by neighbours and sheds most of its load, though it could serve as many at once as ever:
@@ -112,37 +112,37 @@
     Gate gate = warmGate(12);
     const BootTime now = answerFull(gate, 100, {}, Start);
     answerFull(gate, 500, {.slots = 12, .alone = 100ms}, now);
-    REQUIRE(allowed(gate.limit) == 12);
+    REQUIRE(allowedConcurrency(gate.limit) == 12);
 }
 
 TEST_CASE("a request that can't be served within its deadline is shed at once, and one that waited too long later")
 {
     Gate gate = warmGate(1);
-    REQUIRE(arrive(gate, {1, Start + 1s}, Start) == Admission::Admitted);
-    REQUIRE(arrive(gate, {2, Start + 15ms}, Start) == Admission::NoRoom);
-    REQUIRE(arrive(gate, {3, Start + 45ms}, Start) == Admission::Queued);
-    REQUIRE(arrive(gate, {4, Start + 1s}, Start) == Admission::Queued);
-    REQUIRE(nextMove(gate) == Start + 35ms);
-    const GateMoves late = move(gate, Start + 36ms);
+    REQUIRE(requestAdmission(gate, {1, Start + 1s}, Start) == Admission::Admitted);
+    REQUIRE(requestAdmission(gate, {2, Start + 15ms}, Start) == Admission::Overloaded);
+    REQUIRE(requestAdmission(gate, {3, Start + 45ms}, Start) == Admission::Queued);
+    REQUIRE(requestAdmission(gate, {4, Start + 1s}, Start) == Admission::Queued);
+    REQUIRE(nextDispatchAt(gate) == Start + 35ms);
+    const GateDecisions late = processQueue(gate, Start + 36ms);
     REQUIRE(late.shed == std::vector<TicketId>{3});
     REQUIRE(late.admitted.empty());
-    finish(gate, WorkEnd::Answered, 40ms, Start + 40ms);
-    REQUIRE(move(gate, Start + 40ms).admitted == std::vector<TicketId>{4});
+    finish(gate, WorkOutcome::Answered, 40ms, Start + 40ms);
+    REQUIRE(processQueue(gate, Start + 40ms).admitted == std::vector<TicketId>{4});
 }
 
 TEST_CASE("the queue is short, and a refusal at the table's limit is told apart")
 {
     Gate gate = warmGate(1);
-    REQUIRE(arrive(gate, {1, Start + 1s}, Start) == Admission::Admitted);
+    REQUIRE(requestAdmission(gate, {1, Start + 1s}, Start) == Admission::Admitted);
     for (TicketId ticket = 2; ticket < 6; ticket++) {
-        REQUIRE(arrive(gate, {ticket, Start + 1s}, Start) == Admission::Queued);
+        REQUIRE(requestAdmission(gate, {ticket, Start + 1s}, Start) == Admission::Queued);
     }
-    REQUIRE(arrive(gate, {6, Start + 1s}, Start) == Admission::NoRoom);
+    REQUIRE(requestAdmission(gate, {6, Start + 1s}, Start) == Admission::Overloaded);
     gate.settings.ceilingIsTableLimit = true;
-    REQUIRE(arrive(gate, {7, Start + 1s}, Start) == Admission::OverLimit);
-    REQUIRE(leave(gate, 3));
-    REQUIRE_FALSE(leave(gate, 3));
-    REQUIRE(arrive(gate, {8, Start + 1s}, Start) == Admission::Queued);
+    REQUIRE(requestAdmission(gate, {7, Start + 1s}, Start) == Admission::OverLimit);
+    REQUIRE(cancelQueued(gate, 3));
+    REQUIRE_FALSE(cancelQueued(gate, 3));
+    REQUIRE(requestAdmission(gate, {8, Start + 1s}, Start) == Admission::Queued);
 }
 
 // An upstream stops answering after a restart beside it: a hundred connections were opened to it within a millisecond,
@@ -150,14 +150,14 @@
 TEST_CASE("new connections are spaced out, open ones are used at once")
 {
     Gate gate = warmGate(12);
-    gate.settings.connectionPace = 4ms;
-    REQUIRE(arrive(gate, {1, Start + 1s}, Start) == Admission::Admitted);
-    REQUIRE(arrive(gate, {2, Start + 1s}, Start) == Admission::Queued);
-    REQUIRE(nextMove(gate) == Start + 4ms);
-    REQUIRE(move(gate, Start + 3ms).admitted.empty());
-    REQUIRE(move(gate, Start + 4ms).admitted == std::vector<TicketId>{2});
-    finish(gate, WorkEnd::Answered, 1ms, Start + 5ms);
-    REQUIRE(arrive(gate, {3, Start + 1s}, Start + 5ms) == Admission::Admitted);
+    gate.settings.minConnectionInterval = 4ms;
+    REQUIRE(requestAdmission(gate, {1, Start + 1s}, Start) == Admission::Admitted);
+    REQUIRE(requestAdmission(gate, {2, Start + 1s}, Start) == Admission::Queued);
+    REQUIRE(nextDispatchAt(gate) == Start + 4ms);
+    REQUIRE(processQueue(gate, Start + 3ms).admitted.empty());
+    REQUIRE(processQueue(gate, Start + 4ms).admitted == std::vector<TicketId>{2});
+    finish(gate, WorkOutcome::Answered, 1ms, Start + 5ms);
+    REQUIRE(requestAdmission(gate, {3, Start + 1s}, Start + 5ms) == Admission::Admitted);
 }
 
 // After each planned restart of an agent callers are refused for seconds, although the upstream was warm all along; or
@@ -167,24 +167,24 @@
 {
     agent::AdaptiveLimit before;
     agent::setCeiling(before, 12);
-    REQUIRE(agent::learned(before).limit == 0);
+    REQUIRE(agent::learnedLimit(before).limit == 0);
     agent::AdaptiveLimit fresh = before;
-    agent::resume(fresh, agent::learned(before), BootTime{});
-    REQUIRE(agent::allowed(fresh) == 1);
+    agent::restoreLimit(fresh, agent::learnedLimit(before), BootTime{});
+    REQUIRE(agent::allowedConcurrency(fresh) == 1);
 
     const agent::LearnedLimit learned{.limit = 20, .reference = std::chrono::milliseconds(4)};
     agent::AdaptiveLimit warm = before;
-    agent::resume(warm, learned, BootTime{});
-    REQUIRE(agent::allowed(warm) == 12);
+    agent::restoreLimit(warm, learned, BootTime{});
+    REQUIRE(agent::allowedConcurrency(warm) == 12);
     agent::AdaptiveLimit cold = warm;
     BootTime now{};
     for (int answer = 0; answer < 40; ++answer) {
         now += std::chrono::milliseconds(5);
-        agent::noteAnswer(warm, std::chrono::milliseconds(4), 12, now);
-        agent::noteAnswer(cold, std::chrono::milliseconds(16), 12, now);
+        agent::recordAnswer(warm, std::chrono::milliseconds(4), 12, now);
+        agent::recordAnswer(cold, std::chrono::milliseconds(16), 12, now);
     }
-    REQUIRE(agent::allowed(warm) == 12);
-    REQUIRE(agent::allowed(cold) == 3);
+    REQUIRE(agent::allowedConcurrency(warm) == 12);
+    REQUIRE(agent::allowedConcurrency(cold) == 3);
 }
 
 /*
@@ -195,9 +195,9 @@
 {
     Gate gate = makeGate(GateSettingsBuilder()
                              .ceiling(100)
-                             .connectionPace(0us)
-                             .coldPerSecond(12)
-                             .longestWait(1000ms)
+                             .minConnectionInterval(0us)
+                             .maxColdRate(12)
+                             .maxWait(1000ms)
                              .adaptive(false)
                              .build()
                              .value(),
@@ -206,10 +206,10 @@
     std::vector<BootTime> sent;
     TicketId ticket = 0;
     for (BootTime now = Start; now < Start + 3s; now += 5ms) {
-        if (arrive(gate, {++ticket, now + 2s}, now) == Admission::Admitted) {
+        if (requestAdmission(gate, {++ticket, now + 2s}, now) == Admission::Admitted) {
             sent.push_back(now);
         }
-        sent.insert(sent.end(), move(gate, now).admitted.size(), now);
+        sent.insert(sent.end(), processQueue(gate, now).admitted.size(), now);
     }
     for (const BootTime begin : sent) {
         const auto inSecond = std::count_if(sent.begin(), sent.end(), [&](BootTime at) {
@@ -220,17 +220,18 @@
     REQUIRE(sent.size() >= 34);
     const std::size_t waiting = gate.queue.size();
     REQUIRE(waiting > 0);
-    REQUIRE(move(gate, Start + 3s).admitted.size() == waiting);
+    REQUIRE(processQueue(gate, Start + 3s).admitted.size() == waiting);
 }
 
 TEST_CASE("gate: while an upstream is cold the gate asks to be looked at when its next turn comes, not before")
 {
     Gate gate = makeGate(
-        GateSettingsBuilder().ceiling(9).connectionPace(0us).coldPerSecond(10).adaptive(false).build().value(), Start);
+        GateSettingsBuilder().ceiling(9).minConnectionInterval(0us).maxColdRate(10).adaptive(false).build().value(),
+        Start);
     setCold(gate, Start + 3s);
-    REQUIRE(arrive(gate, {1, Start + 2s}, Start) == Admission::Admitted);
-    REQUIRE(arrive(gate, {2, Start + 2s}, Start) == Admission::Queued);
-    REQUIRE(nextMove(gate) == Start + 100ms);
-    REQUIRE(move(gate, Start + 99ms).admitted.empty());
-    REQUIRE(move(gate, Start + 100ms).admitted.size() == 1);
+    REQUIRE(requestAdmission(gate, {1, Start + 2s}, Start) == Admission::Admitted);
+    REQUIRE(requestAdmission(gate, {2, Start + 2s}, Start) == Admission::Queued);
+    REQUIRE(nextDispatchAt(gate) == Start + 100ms);
+    REQUIRE(processQueue(gate, Start + 99ms).admitted.empty());
+    REQUIRE(processQueue(gate, Start + 100ms).admitted.size() == 1);
 }
--- a/tests/GrantExplorerTest.cpp
+++ b/tests/GrantExplorerTest.cpp
@@ -33,9 +33,9 @@
 GrantTimes shortTimes()
 {
     GrantTimes times;
-    times.hold = 200ms;
-    times.shortestHold = 100ms;
-    times.renewBelow = 150ms;
+    times.grantDuration = 200ms;
+    times.minGrantDuration = 100ms;
+    times.renewThreshold = 150ms;
     times.grantTimeout = Step;
     times.releaseTimeout = Step;
     times.retryAfter = Step;
@@ -113,9 +113,9 @@
             hold.unansweredUntil = {};
         }
     }
-    side.ownership.held[Service] = heldNow(side.orders, world.now);
+    side.ownership.held[Service] = currentlyHeld(side.orders, world.now);
     const bool ended = world.without == Without::Predecessor || world.now >= side.startedAt + LeaseLength;
-    side.ownership.grantsOfPredecessorEnded = ended;
+    side.ownership.predecessorGrantsExpired = ended;
 }
 
 /** The agent's turn: orders that are due, and slices that it can give back. */
@@ -132,10 +132,10 @@
     }
     for (const SliceKey &revoked : side.ownership.revoked) {
         unwanted.push_back({0, LastHash, revoked.epoch});
-        side.ownership.withheld.insert(revoked);
+        side.ownership.revokesSent.insert(revoked);
     }
     const BootTime lease = world.without == Without::LeaseBound ? world.now + 1h : side.leaseUntil;
-    for (const GrantOrder &order : ordersDue(side.orders, wanted, unwanted, lease, world.now)) {
+    for (const GrantOrder &order : takeDueOrders(side.orders, wanted, unwanted, lease, world.now)) {
         side.sent.push_back({order});
     }
     publish(world, side);
@@ -150,23 +150,23 @@
 }
 
 /** An upstream carries an order out, its time counted from its arrival. */
-OrderEnd carryOut(World &world, Process &process, const GrantOrder &order)
+OrderOutcome carryOut(World &world, Process &process, const GrantOrder &order)
 {
     if (order.kind == OrderKind::Release) {
         if (process.epoch <= order.range.epoch) {
             process.until = {};
         }
-        return OrderEnd::Done;
+        return OrderOutcome::Done;
     }
     if (order.range.epoch < process.highestSeen) {
-        return OrderEnd::Outdated;
+        return OrderOutcome::Outdated;
     }
     const auto slow = milliseconds(static_cast<int>(static_cast<double>(order.holdFor.count()) * 1.02));
     const BootTime until = order.sentAt + slow;
     process.highestSeen = order.range.epoch;
     process.epoch = order.range.epoch;
     process.until = until > world.now ? until : BootTime();
-    return OrderEnd::Done;
+    return OrderOutcome::Done;
 }
 
 void advance(World &world)
@@ -179,7 +179,8 @@
                 sent.late = true;
                 const bool believed =
                     world.without == Without::AnswerOfRelease && sent.order.kind == OrderKind::Release;
-                orderEnded(side.orders, sent.order.id, believed ? OrderEnd::Done : OrderEnd::Unknown, world.now);
+                recordOrderOutcome(
+                    side.orders, sent.order.id, believed ? OrderOutcome::Done : OrderOutcome::Unknown, world.now);
             }
         }
         std::erase_if(side.sent, [&](const Sent &sent) {
@@ -199,13 +200,13 @@
 void answer(World &world, Side &side, std::size_t index, bool told)
 {
     const Sent sent = side.sent.at(index);
-    const OrderEnd end = carryOut(world, side.process, sent.order);
+    const OrderOutcome outcome = carryOut(world, side.process, sent.order);
     if (told) {
         side.sent.erase(side.sent.begin() + static_cast<std::ptrdiff_t>(index));
-        orderEnded(side.orders, sent.order.id, end, world.now);
+        recordOrderOutcome(side.orders, sent.order.id, outcome, world.now);
         return;
     }
-    orderEnded(side.orders, sent.order.id, OrderEnd::Unknown, world.now);
+    recordOrderOutcome(side.orders, sent.order.id, OrderOutcome::Unknown, world.now);
     side.sent.erase(side.sent.begin() + static_cast<std::ptrdiff_t>(index));
 }
 
@@ -225,7 +226,7 @@
     world.restarts++;
     side.orders = GrantOrders{.times = shortTimes(), .holds = {}, .open = {}, .outdated = {}};
     side.ownership = Ownership{};
-    side.ownership.upstreamsHold = true;
+    side.ownership.upstreamsHoldGrants = true;
     side.ownership.ownUpstreams = {static_cast<std::uint32_t>(number + 1)};
     side.map = RouteMap{};
     side.startedAt = world.now;
@@ -328,11 +329,11 @@
                  << since(sent.order.sentAt) << sent.late << sent.order.holdFor.count();
         }
         for (const KeyHold &hold : side.orders.holds) {
-            text << '/' << hold.range.epoch << ',' << since(hold.surelyUntil) << ',' << since(hold.perhapsUntil) << ','
-                 << since(hold.unansweredUntil) << ',' << since(hold.nextOrder);
+            text << '/' << hold.range.epoch << ',' << since(hold.confirmedUntil) << ',' << since(hold.possiblyHeldUntil)
+                 << ',' << since(hold.unansweredUntil) << ',' << since(hold.nextOrderAt);
         }
-        text << '+' << side.ownership.revoked.size() << side.ownership.released.size() << side.ownership.withheld.size()
-             << side.orders.outdated.size();
+        text << '+' << side.ownership.revoked.size() << side.ownership.released.size()
+             << side.ownership.revokesSent.size() << side.orders.outdated.size();
     }
     return text.str();
 }
--- a/tests/GrantOrdersTest.cpp
+++ b/tests/GrantOrdersTest.cpp
@@ -19,7 +19,7 @@
 
     std::vector<GrantOrder> want(const std::vector<WantedKeys> &wanted, const std::vector<HeldRange> &unwanted = {})
     {
-        return ordersDue(this->orders, wanted, unwanted, this->leaseUntil, this->now);
+        return takeDueOrders(this->orders, wanted, unwanted, this->leaseUntil, this->now);
     }
 
     GrantOrder grantOnly(const HeldRange &range = Keys)
@@ -30,14 +30,14 @@
         return due.front();
     }
 
-    void end(const GrantOrder &order, OrderEnd how)
+    void end(const GrantOrder &order, OrderOutcome how)
     {
-        orderEnded(this->orders, order.id, how, this->now);
+        recordOrderOutcome(this->orders, order.id, how, this->now);
     }
 
     std::vector<HeldRange> held()
     {
-        return heldNow(this->orders, this->now);
+        return currentlyHeld(this->orders, this->now);
     }
 
     bool surely()
@@ -57,14 +57,14 @@
     REQUIRE_FALSE(upstream.surely());
     REQUIRE(upstream.want({{Keys, {}}}).empty());
     upstream.now += 5ms;
-    upstream.end(first, OrderEnd::Done);
+    upstream.end(first, OrderOutcome::Done);
     REQUIRE(upstream.surely());
     REQUIRE(upstream.want({{Keys, {}}}).empty());
-    const BootTime next = nextLook(upstream.orders, upstream.now);
+    const BootTime next = nextCheckAt(upstream.orders, upstream.now);
     REQUIRE(next > upstream.now);
-    REQUIRE(next < Start + upstream.orders.times.hold);
+    REQUIRE(next < Start + upstream.orders.times.grantDuration);
     upstream.now = next;
-    upstream.end(upstream.grantOnly(), OrderEnd::Done);
+    upstream.end(upstream.grantOnly(), OrderOutcome::Done);
     REQUIRE(upstream.surely());
 }
 
@@ -82,7 +82,7 @@
         order.sentAt + times.grantTimeout
         + std::chrono::milliseconds(static_cast<int>(static_cast<double>(order.holdFor.count()) * 1.02));
     REQUIRE(latest <= upstream.leaseUntil);
-    upstream.end(order, OrderEnd::Done);
+    upstream.end(order, OrderOutcome::Done);
     upstream.now = Start + 700ms;
     REQUIRE(upstream.want({{Keys, {}}}).empty());
 }
@@ -95,20 +95,20 @@
 TEST_CASE("grants by call: after a release, keys stay taken until a grant without an answer has run out")
 {
     Upstream upstream;
-    upstream.end(upstream.grantOnly(), OrderEnd::Done);
+    upstream.end(upstream.grantOnly(), OrderOutcome::Done);
     upstream.now = Start + 800ms;
     const GrantOrder lost = upstream.grantOnly();
     upstream.now += upstream.orders.times.grantTimeout;
-    upstream.end(lost, OrderEnd::Unknown);
+    upstream.end(lost, OrderOutcome::Unknown);
     upstream.now += upstream.orders.times.retryAfter;
     const std::vector<GrantOrder> release = upstream.want({}, {Keys});
     REQUIRE(release.size() == 1);
     REQUIRE(release.front().kind == OrderKind::Release);
-    upstream.end(release.front(), OrderEnd::Done);
+    upstream.end(release.front(), OrderOutcome::Done);
     REQUIRE(upstream.held().size() == 1);
     REQUIRE_FALSE(upstream.surely());
     REQUIRE(upstream.want({}, {Keys}).empty());
-    upstream.now = lost.sentAt + upstream.orders.times.hold;
+    upstream.now = lost.sentAt + upstream.orders.times.grantDuration;
     REQUIRE(upstream.held().size() == 1);
     upstream.now += upstream.orders.times.grantTimeout + 50ms;
     REQUIRE(upstream.held().empty());
@@ -117,10 +117,10 @@
 TEST_CASE("grants by call: an answered release frees its part at once, and the rest stays held")
 {
     Upstream upstream;
-    upstream.end(upstream.grantOnly(), OrderEnd::Done);
+    upstream.end(upstream.grantOnly(), OrderOutcome::Done);
     const std::vector<GrantOrder> release = upstream.want({}, {{200, 299, 4}});
     REQUIRE(release.size() == 1);
-    upstream.end(release.front(), OrderEnd::Done);
+    upstream.end(release.front(), OrderOutcome::Done);
     const std::vector<HeldRange> held = upstream.held();
     REQUIRE(held.size() == 2);
     REQUIRE(held[0] == HeldRange{0, 199, 4});
@@ -130,11 +130,11 @@
 TEST_CASE("grants by call: a release without an answer frees nothing and is sent again after a pause")
 {
     Upstream upstream;
-    upstream.end(upstream.grantOnly(), OrderEnd::Done);
+    upstream.end(upstream.grantOnly(), OrderOutcome::Done);
     const std::vector<GrantOrder> release = upstream.want({}, {Keys});
     REQUIRE(release.size() == 1);
     upstream.now += upstream.orders.times.releaseTimeout;
-    upstream.end(release.front(), OrderEnd::Unknown);
+    upstream.end(release.front(), OrderOutcome::Unknown);
     REQUIRE(upstream.held().size() == 1);
     REQUIRE(upstream.want({}, {Keys}).empty());
     upstream.now += upstream.orders.times.retryAfter;
@@ -148,7 +148,7 @@
 TEST_CASE("grants by call: a grant refused as outdated is not sent again under that epoch")
 {
     Upstream upstream;
-    upstream.end(upstream.grantOnly(), OrderEnd::Outdated);
+    upstream.end(upstream.grantOnly(), OrderOutcome::Outdated);
     upstream.now += 10s;
     REQUIRE(upstream.want({{Keys, {}}}).empty());
     REQUIRE(upstream.want({{{0, 999, 5}, {}}}).size() == 1);
@@ -161,19 +161,19 @@
 TEST_CASE("grants by call: a disowned key isn't held any more, and is granted again at once")
 {
     Upstream upstream;
-    upstream.end(upstream.grantOnly(), OrderEnd::Done);
-    disowned(upstream.orders, 500);
+    upstream.end(upstream.grantOnly(), OrderOutcome::Done);
+    recordKeyNotHeld(upstream.orders, 500);
     REQUIRE_FALSE(upstream.surely());
-    upstream.end(upstream.grantOnly(), OrderEnd::Done);
+    upstream.end(upstream.grantOnly(), OrderOutcome::Done);
     REQUIRE(upstream.surely());
 }
 
 TEST_CASE("grants by call: an upstream that doesn't answer is not asked without a pause")
 {
     Upstream upstream;
-    upstream.end(upstream.grantOnly(), OrderEnd::NotTaken);
+    upstream.end(upstream.grantOnly(), OrderOutcome::NotReceived);
     REQUIRE(upstream.want({{Keys, {}}}).empty());
-    REQUIRE(nextLook(upstream.orders, upstream.now) == upstream.now + upstream.orders.times.retryAfter);
+    REQUIRE(nextCheckAt(upstream.orders, upstream.now) == upstream.now + upstream.orders.times.retryAfter);
     upstream.now += upstream.orders.times.retryAfter;
     REQUIRE(upstream.want({{Keys, {}}}).size() == 1);
 }
@@ -183,7 +183,7 @@
     Upstream upstream;
     const GrantOrder order = upstream.grantOnly();
     forgetAll(upstream.orders);
-    upstream.end(order, OrderEnd::Done);
+    upstream.end(order, OrderOutcome::Done);
     REQUIRE(upstream.held().empty());
-    REQUIRE(nextLook(upstream.orders, upstream.now) == BootTime::max());
+    REQUIRE(nextCheckAt(upstream.orders, upstream.now) == BootTime::max());
 }
--- a/tests/HeldKeysTest.cpp
+++ b/tests/HeldKeysTest.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr BootTime Now{10s};
-constexpr std::uint64_t Boundary = placeOfKey(1000);
+constexpr std::uint64_t Boundary = hashOfNumberedKey(1000);
 
 /** An agent whose upstream keeps grants of its own; it owns keys 0 to 999 under epoch 4. */
 struct Agent {
@@ -29,8 +29,8 @@
         this->add(slices, Boundary, 8, 1);
         agent::apply(this->map, state);
         this->ownership.ownUpstreams = {7};
-        this->ownership.upstreamsHold = true;
-        this->ownership.heardFrom.insert("seats");
+        this->ownership.upstreamsHoldGrants = true;
+        this->ownership.servicesReported.insert("seats");
         this->lease.validUntil = Now + 1s;
     }
 
@@ -47,10 +47,11 @@
         this->ownership.held["seats"] = {{0, last, epoch}};
     }
 
-    agent::Refusal check() const
+    agent::OwnershipRefusal check() const
     {
         agent::Slice slice;
-        return agent::checkOwnership(this->ownership, this->map, this->lease, "seats", placeOfKey(5), Now, &slice);
+        return agent::checkOwnership(
+            this->ownership, this->map, this->lease, "seats", hashOfNumberedKey(5), Now, &slice);
     }
 
     void revoke()
@@ -68,15 +69,15 @@
 TEST_CASE("held keys: an upstream gets a key only while it holds it, under the epoch in force")
 {
     Agent agent;
-    REQUIRE(agent.check() == agent::Refusal::Moving);
+    REQUIRE(agent.check() == agent::OwnershipRefusal::Moving);
     agent.hold(3);
-    REQUIRE(agent.check() == agent::Refusal::Moving);
-    agent.hold(4, placeOfKey(500));
-    REQUIRE(agent.check() == agent::Refusal::Moving);
+    REQUIRE(agent.check() == agent::OwnershipRefusal::Moving);
+    agent.hold(4, hashOfNumberedKey(500));
+    REQUIRE(agent.check() == agent::OwnershipRefusal::Moving);
     agent.hold(4);
-    REQUIRE(agent.check() == agent::Refusal::None);
+    REQUIRE(agent.check() == agent::OwnershipRefusal::None);
     agent.lease.validUntil = Now - 1ms;
-    REQUIRE(agent.check() == agent::Refusal::NoLease);
+    REQUIRE(agent.check() == agent::OwnershipRefusal::NoLease);
 }
 
 /*
@@ -89,29 +90,29 @@
     Agent agent;
     agent.hold(4);
     agent.revoke();
-    REQUIRE(agent.check() == agent::Refusal::None);
+    REQUIRE(agent.check() == agent::OwnershipRefusal::None);
     REQUIRE(agent::takeReleased(agent.ownership, agent.map).slices().empty());
-    agent.ownership.withheld.insert({"seats", 0, 4});
-    REQUIRE(agent.check() == agent::Refusal::Moving);
+    agent.ownership.revokesSent.insert({"seats", 0, 4});
+    REQUIRE(agent.check() == agent::OwnershipRefusal::Moving);
     REQUIRE(agent::takeReleased(agent.ownership, agent.map).slices().empty());
     agent.ownership.handovers[{"seats", 0, 4}] = "state";
     agent.ownership.held["seats"].clear();
-    agent::beginWork(agent.ownership, "seats", placeOfKey(5));
+    agent::beginWork(agent.ownership, "seats", hashOfNumberedKey(5));
     REQUIRE(agent::takeReleased(agent.ownership, agent.map).slices().empty());
-    agent::endWork(agent.ownership, "seats", placeOfKey(5));
+    agent::endWork(agent.ownership, "seats", hashOfNumberedKey(5));
     const wire::Released released = agent::takeReleased(agent.ownership, agent.map);
     REQUIRE(released.slices_size() == 1);
     REQUIRE(released.slices(0).handover() == "state");
-    REQUIRE(agent.check() == agent::Refusal::Moving);
+    REQUIRE(agent.check() == agent::OwnershipRefusal::Moving);
 }
 
 TEST_CASE("held keys: part of a slice still held blocks its release, a neighbour's doesn't")
 {
     Agent agent;
-    agent.ownership.held["seats"] = {{placeOfKey(999), placeOfKey(999) + KeyGrain - 1, 2}};
+    agent.ownership.held["seats"] = {{hashOfNumberedKey(999), hashOfNumberedKey(999) + NumberedKeyWidth - 1, 2}};
     agent.revoke();
     REQUIRE(agent::takeReleased(agent.ownership, agent.map).slices().empty());
-    agent.ownership.held["seats"] = {{Boundary, placeOfKey(1200), 4}};
+    agent.ownership.held["seats"] = {{Boundary, hashOfNumberedKey(1200), 4}};
     REQUIRE(agent::takeReleased(agent.ownership, agent.map).slices_size() == 1);
 }
 
@@ -124,12 +125,12 @@
     "held keys: a new agent releases nothing before its upstream has said what it holds, or its grants have ended")
 {
     Agent agent;
-    agent.ownership.heardFrom.clear();
+    agent.ownership.servicesReported.clear();
     agent.revoke();
     REQUIRE(agent::takeReleased(agent.ownership, agent.map).slices().empty());
     SECTION("the upstream speaks")
     {
-        agent.ownership.heardFrom.insert("seats");
+        agent.ownership.servicesReported.insert("seats");
         agent.hold(4);
         REQUIRE(agent::takeReleased(agent.ownership, agent.map).slices().empty());
         agent.ownership.held.clear();
@@ -137,7 +138,7 @@
     }
     SECTION("it never does, and what the agent before granted has run out")
     {
-        agent.ownership.grantsOfPredecessorEnded = true;
+        agent.ownership.predecessorGrantsExpired = true;
         REQUIRE(agent::takeReleased(agent.ownership, agent.map).slices_size() == 1);
     }
 }
--- a/tests/HttpClientTest.cpp
+++ b/tests/HttpClientTest.cpp
@@ -84,7 +84,7 @@
     CHECK(seen
           == "POST /s/x/../%2e?q=%20# HTTP/1.1\r\nHost: " + peer.address()
                  + "\r\nRouting-Key: k\r\nEmpty:\r\nContent-Length: 8\r\n\r\namount=1");
-    CHECK(result.end == CallEnd::Answered);
+    CHECK(result.outcome == CallOutcome::Answered);
     CHECK(result.answer.status == 201);
     CHECK(result.answer.body == "ok");
     CHECK(result.answer.headers == std::vector<Header>{{"Upstream-Load", "0.5"}});
@@ -99,7 +99,7 @@
         address = gone.address();
     }
     const CallResult result = sendInTurn(bench, {callTo(address, "POST")}).front();
-    CHECK(result.end == CallEnd::NotSent);
+    CHECK(result.outcome == CallOutcome::NotSent);
     CHECK_FALSE(result.mayHaveRun);
 }
 
@@ -141,13 +141,13 @@
         CHECK(result.mayHaveRun);
         if (whole == Chunked && cut + 1 == whole.size()) {
             // The chunk of length 0 ends the content; libcurl does not wait for the line feed after it.
-            CHECK(result.answer.body == (result.end == CallEnd::Answered ? "hello" : ""));
+            CHECK(result.answer.body == (result.outcome == CallOutcome::Answered ? "hello" : ""));
         } else if (cut == whole.size()) {
-            CHECK(result.end == CallEnd::Answered);
+            CHECK(result.outcome == CallOutcome::Answered);
             CHECK(result.answer.body == "hello");
         } else {
             const std::size_t header = whole.find("\r\n\r\n") + 4;
-            CHECK(result.end == (cut < header ? CallEnd::Broken : CallEnd::ShortAnswer));
+            CHECK(result.outcome == (cut < header ? CallOutcome::ConnectionLost : CallOutcome::TruncatedAnswer));
         }
     }
 }
@@ -186,7 +186,7 @@
         }
     });
     bench.run();
-    CHECK(last.end == CallEnd::Broken);
+    CHECK(last.outcome == CallOutcome::ConnectionLost);
     CHECK(last.mayHaveRun);
     CHECK(peer.requests == 3);
     CHECK(peer.accepted == 2);
@@ -235,9 +235,9 @@
         }
     });
     bench.run();
-    CHECK(first.end == (cancelled ? CallEnd::Cancelled : CallEnd::TimedOut));
+    CHECK(first.outcome == (cancelled ? CallOutcome::Cancelled : CallOutcome::TimedOut));
     CHECK(first.mayHaveRun);
-    CHECK(second.end == CallEnd::Answered);
+    CHECK(second.outcome == CallOutcome::Answered);
     CHECK(second.answer.body == "hello");
     CHECK(peer.accepted == 2);
     CHECK(bench.client->inProgress() == 0);
@@ -278,7 +278,7 @@
         });
     });
     bench.run();
-    CHECK(second.end == CallEnd::Answered);
+    CHECK(second.outcome == CallOutcome::Answered);
     CHECK(second.answer.body == "hello");
     CHECK(peer.accepted == 2);
 }
@@ -307,7 +307,7 @@
     HttpCall call = callTo(peer.address(), "GET");
     call.timeout = inTime ? 10s : 100ms;
     const CallResult result = sendInTurn(bench, {call}).front();
-    CHECK(result.end == (inTime ? CallEnd::Answered : CallEnd::TimedOut));
+    CHECK(result.outcome == (inTime ? CallOutcome::Answered : CallOutcome::TimedOut));
     CHECK(result.answer.body == (inTime ? "hello" : ""));
 }
 
@@ -315,21 +315,21 @@
 {
     struct Case {
         std::string bytes;
-        CallEnd end;
+        CallOutcome outcome;
     };
-    const Case each =
-        GENERATE(Case{"HTTP/1.1 200 OK\r\n\r\nhello", CallEnd::ShortAnswer},
-                 Case{"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhello", CallEnd::ShortAnswer},
-                 Case{"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 5\r\n\r\nhello", CallEnd::ShortAnswer},
-                 Case{"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nTransfer-Encoding: "
-                      "chunked\r\n\r\n0\r\n\r\n",
-                      CallEnd::ShortAnswer},
-                 Case{"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", CallEnd::ShortAnswer},
-                 Case{"HTTP/1.1 200 OK\r\nContent-Length: 40\r\n\r\n" + std::string(40, 'x'), CallEnd::TooLarge},
-                 Case{"HTTP/1.1 200 OK\r\nBig: " + std::string(70000, 'x') + "\r\n\r\n", CallEnd::TooLarge},
-                 Case{"HTTP/1.1 100 Continue\r\n\r\n", CallEnd::Broken},
-                 Case{"\x01\x02 garbage\r\n\r\n", CallEnd::Broken},
-                 Case{"HTTP/1.1 204 No Content\r\n\r\n", CallEnd::Answered});
+    const Case each = GENERATE(
+        Case{"HTTP/1.1 200 OK\r\n\r\nhello", CallOutcome::TruncatedAnswer},
+        Case{"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhello", CallOutcome::TruncatedAnswer},
+        Case{"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 5\r\n\r\nhello", CallOutcome::TruncatedAnswer},
+        Case{"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nTransfer-Encoding: "
+             "chunked\r\n\r\n0\r\n\r\n",
+             CallOutcome::TruncatedAnswer},
+        Case{"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", CallOutcome::TruncatedAnswer},
+        Case{"HTTP/1.1 200 OK\r\nContent-Length: 40\r\n\r\n" + std::string(40, 'x'), CallOutcome::TooLarge},
+        Case{"HTTP/1.1 200 OK\r\nBig: " + std::string(70000, 'x') + "\r\n\r\n", CallOutcome::TooLarge},
+        Case{"HTTP/1.1 100 Continue\r\n\r\n", CallOutcome::ConnectionLost},
+        Case{"\x01\x02 garbage\r\n\r\n", CallOutcome::ConnectionLost},
+        Case{"HTTP/1.1 204 No Content\r\n\r\n", CallOutcome::Answered});
     Bench bench;
     ScriptedPeer *self = nullptr;
     ScriptedPeer peer(*bench.loop, [&](PeerConnection &connection) {
@@ -338,9 +338,9 @@
     });
     self = &peer;
     HttpCall call = callTo(peer.address(), "GET");
-    call.maxAnswer = 32;
+    call.maxAnswerBytes = 32;
     INFO(each.bytes.substr(0, 60));
-    CHECK(sendInTurn(bench, {call}).front().end == each.end);
+    CHECK(sendInTurn(bench, {call}).front().outcome == each.outcome);
 }
 
 TEST_CASE("calls beyond the connections to a peer wait, and are provably not sent when their time ends")
@@ -362,8 +362,8 @@
         }
     });
     bench.run();
-    CHECK(results[0].end == CallEnd::NotSent);
-    CHECK(results[1].end == CallEnd::TimedOut);
+    CHECK(results[0].outcome == CallOutcome::NotSent);
+    CHECK(results[1].outcome == CallOutcome::TimedOut);
     CHECK(peer.requests == 1);
 }
 
@@ -379,14 +379,14 @@
         connection.send("HTTP/1.1 200 OK\r\nRequest-Name: one\r\nContent-Length: 5\r\n\r\nhello");
     });
     HttpCall first = callTo(peer.address(), "GET");
-    first.echoed = {"request-name", "one"};
+    first.expectedEcho = {"request-name", "one"};
     HttpCall second = first;
-    second.echoed.value = "two";
+    second.expectedEcho.value = "two";
     const std::vector<CallResult> results = sendInTurn(bench, {first, second, first});
-    REQUIRE(results[0].end == CallEnd::Answered);
-    REQUIRE(results[1].end == CallEnd::Broken);
+    REQUIRE(results[0].outcome == CallOutcome::Answered);
+    REQUIRE(results[1].outcome == CallOutcome::ConnectionLost);
     REQUIRE(results[1].mayHaveRun);
-    REQUIRE(results[2].end == CallEnd::Answered);
+    REQUIRE(results[2].outcome == CallOutcome::Answered);
     REQUIRE(peer.accepted == 2);
 }
 
@@ -405,12 +405,12 @@
     peers[0] = &closing;
     peers[1] = &resetting;
     HttpCall call = callTo(closing.address(), "GET");
-    call.untilClose = true;
+    call.readUntilClose = true;
     HttpCall cut = callTo(resetting.address(), "GET");
-    cut.untilClose = true;
+    cut.readUntilClose = true;
     const std::vector<CallResult> results = sendInTurn(bench, {call, cut, callTo(closing.address(), "GET")});
-    REQUIRE(results[0].end == CallEnd::Answered);
+    REQUIRE(results[0].outcome == CallOutcome::Answered);
     REQUIRE(results[0].answer.body == "hello");
-    REQUIRE(results[1].end != CallEnd::Answered);
-    REQUIRE(results[2].end == CallEnd::ShortAnswer);
+    REQUIRE(results[1].outcome != CallOutcome::Answered);
+    REQUIRE(results[2].outcome == CallOutcome::TruncatedAnswer);
 }
--- a/tests/HttpServerTest.cpp
+++ b/tests/HttpServerTest.cpp
@@ -46,7 +46,7 @@
     CHECK(seen.body == call.body);
     CHECK(*findHeader(seen.headers, "routing-KEY") == "key 1");
     CHECK(seen.peer.substr(0, 10) == "127.0.0.1:");
-    CHECK(result.end == CallEnd::Answered);
+    CHECK(result.outcome == CallOutcome::Answered);
     CHECK(result.answer.status == 202);
     CHECK(result.answer.body == "done");
     CHECK(*findHeader(result.answer.headers, "A") == "b");
@@ -150,7 +150,7 @@
         exchange->answer({.status = 200, .headers = {{"Content-Length", "12345"}}, .body = {}});
     });
     const CallResult result = bench.send(bench.call("HEAD"));
-    CHECK(result.end == CallEnd::Answered);
+    CHECK(result.outcome == CallOutcome::Answered);
     CHECK(result.answer.body.empty());
     CHECK(*findHeader(result.answer.headers, "Content-Length") == "12345");
 }
@@ -281,7 +281,7 @@
         });
     });
     const CallResult result = bench.send(bench.call("POST"));
-    CHECK(result.end == CallEnd::Broken);
+    CHECK(result.outcome == CallOutcome::ConnectionLost);
     CHECK(result.mayHaveRun);
 }
 
@@ -308,7 +308,7 @@
     });
     bench.run();
     CHECK(results[0].answer.body == "last");
-    CHECK(results[1].end == CallEnd::NotSent);
+    CHECK(results[1].outcome == CallOutcome::NotSent);
 }
 
 /*
--- a/tests/LeaseTest.cpp
+++ b/tests/LeaseTest.cpp
@@ -20,7 +20,7 @@
 {
     agent::Lease lease;
     agent::beginSession(lease, 1);
-    agent::fullStateApplied(lease, 1);
+    agent::recordFullState(lease, 1);
     return lease;
 }
 
@@ -32,11 +32,11 @@
 {
     agent::Lease lease = openLease();
     const BootTime sent{10s};
-    const std::uint64_t sequence = agent::noteRenewal(lease, sent);
-    REQUIRE_FALSE(agent::holds(lease, sent));
+    const std::uint64_t sequence = agent::recordRenewal(lease, sent);
+    REQUIRE_FALSE(agent::isValidAt(lease, sent));
     REQUIRE(agent::confirmRenewal(lease, 1, renewedFor(sequence)));
-    REQUIRE(agent::holds(lease, sent + 499ms));
-    REQUIRE_FALSE(agent::holds(lease, sent + 500ms));
+    REQUIRE(agent::isValidAt(lease, sent + 499ms));
+    REQUIRE_FALSE(agent::isValidAt(lease, sent + 500ms));
 }
 
 // An agent serves by an old map: its session broke, a new leader took over, and a delayed confirmation of the session
@@ -44,26 +44,26 @@
 TEST_CASE("a renewal counts only on its own session and after that session's full state")
 {
     agent::Lease lease = openLease();
-    const std::uint64_t old = agent::noteRenewal(lease, BootTime(10s));
+    const std::uint64_t old = agent::recordRenewal(lease, BootTime(10s));
     agent::endSession(lease);
     REQUIRE_FALSE(agent::confirmRenewal(lease, 1, renewedFor(old)));
     agent::beginSession(lease, 2);
-    const std::uint64_t early = agent::noteRenewal(lease, BootTime(11s));
+    const std::uint64_t early = agent::recordRenewal(lease, BootTime(11s));
     REQUIRE_FALSE(agent::confirmRenewal(lease, 2, renewedFor(early)));
-    agent::fullStateApplied(lease, 1);
+    agent::recordFullState(lease, 1);
     REQUIRE_FALSE(agent::confirmRenewal(lease, 2, renewedFor(early)));
-    agent::fullStateApplied(lease, 2);
+    agent::recordFullState(lease, 2);
     REQUIRE_FALSE(agent::confirmRenewal(lease, 2, renewedFor(old)));
     REQUIRE_FALSE(agent::confirmRenewal(lease, 1, renewedFor(early)));
     REQUIRE(agent::confirmRenewal(lease, 2, renewedFor(early)));
-    REQUIRE(agent::holds(lease, BootTime(11s)));
+    REQUIRE(agent::isValidAt(lease, BootTime(11s)));
 }
 
 TEST_CASE("confirmations out of order or doubled never shorten or lengthen the lease")
 {
     agent::Lease lease = openLease();
-    const std::uint64_t first = agent::noteRenewal(lease, BootTime(10s));
-    const std::uint64_t second = agent::noteRenewal(lease, BootTime(10s + 100ms));
+    const std::uint64_t first = agent::recordRenewal(lease, BootTime(10s));
+    const std::uint64_t second = agent::recordRenewal(lease, BootTime(10s + 100ms));
     REQUIRE(agent::confirmRenewal(lease, 1, renewedFor(second)));
     REQUIRE_FALSE(agent::confirmRenewal(lease, 1, renewedFor(first)));
     REQUIRE_FALSE(agent::confirmRenewal(lease, 1, renewedFor(second)));
--- a/tests/LimitExplorerTest.cpp
+++ b/tests/LimitExplorerTest.cpp
@@ -1,5 +1,5 @@
 #include "agent/LimitShares.h"
-#include "control/LimitBook.h"
+#include "control/LimitAllocator.h"
 #include "table/RouteTable.h"
 
 #include <catch2/catch.hpp>
@@ -63,14 +63,14 @@
     explicit World(Without without)
         : without(without)
     {
-        this->book.settings.bounds.window = Window;
-        this->book.settings.lease = 2s;
-        this->book.settings.permit = 300ms;
-        this->book.settings.drift = 100ms;
+        this->allocator.settings.bounds.window = Window;
+        this->allocator.settings.lease = 2s;
+        this->allocator.settings.permit = 300ms;
+        this->allocator.settings.drift = 100ms;
         for (Side &side : this->sides) {
             side.shares.bounds.window = Window;
         }
-        control::beginLeading(this->book, this->now);
+        control::beginLeading(this->allocator, this->now);
         for (std::size_t number = 0; number < Agents; ++number) {
             this->connect(number);
         }
@@ -108,7 +108,7 @@
             this->restartFirst();
             break;
         case Event::ChangeLeader:
-            control::beginLeading(this->book, this->now);
+            control::beginLeading(this->allocator, this->now);
             this->toLeader.clear();
             for (std::size_t number = 0; number < Agents; ++number) {
                 this->connect(number);
@@ -168,7 +168,7 @@
         const std::string ended = this->life(0);
         Side &side = this->sides[0];
         ++side.life;
-        control::succeedLife(this->book, ended, this->life(0), this->now);
+        control::transferShares(this->allocator, ended, this->life(0), this->now);
         side.shares = {};
         side.shares.bounds.window = Window;
         side.shares.startedAt = this->without == Without::FirstWindow ? BootTime() : this->now;
@@ -213,28 +213,29 @@
         }
         const Sent sent = this->toLeader.front();
         this->toLeader.pop_front();
-        control::expireLimits(this->book, this->now);
-        control::noteDemand(this->book, this->life(sent.side), sent.renew, this->now);
+        control::expireLimits(this->allocator, this->now);
+        control::recordDemand(this->allocator, this->life(sent.side), sent.renew, this->now);
         const bool all =
             this->without == Without::WaitOfNewLeader
-            || (control::isKnown(this->book, this->life(0)) && control::isKnown(this->book, this->life(1)));
-        control::noteComplete(this->book, all, this->now);
+            || (control::isKnown(this->allocator, this->life(0)) && control::isKnown(this->allocator, this->life(1)));
+        control::updateAllSharesKnown(this->allocator, all, this->now);
         wire::Renewed renewed;
         renewed.set_sequence(sent.renew.sequence());
-        control::grantShares(this->book, this->life(sent.side), tableWith(this->rate), this->now, this->now, renewed);
+        control::grantShares(
+            this->allocator, this->life(sent.side), tableWith(this->rate), this->now, this->now, renewed);
         if (this->without == Without::Confirmation) {
             wire::Renew confirmed;
             confirmed.set_shares_applied(renewed.sequence());
-            control::noteDemand(this->book, this->life(sent.side), confirmed, this->now);
+            control::recordDemand(this->allocator, this->life(sent.side), confirmed, this->now);
         }
         if (this->without == Without::CoolDown) {
-            for (control::ReturnedShare &returned : this->book.reserves[Name].returned) {
+            for (control::ReturnedShare &returned : this->allocator.reserves[Name].returned) {
                 returned.freeAt = this->now;
             }
         }
         if (this->without == Without::CountOfPermits) {
-            this->book.reserves[Name].permits = 0;
-            this->book.reserves[Name].handed.clear();
+            this->allocator.reserves[Name].permits = 0;
+            this->allocator.reserves[Name].grantedPermits.clear();
         }
         this->sides.at(sent.side).received.push_back(std::move(renewed));
     }
@@ -258,7 +259,7 @@
     const Without without;
     BootTime now{100s};
     double rate = HighRate;
-    control::LimitBook book;
+    control::LimitAllocator allocator;
     std::array<Side, Agents> sides;
     std::deque<Sent> toLeader;
     std::deque<BootTime> times;
--- a/tests/LimitSharesTest.cpp
+++ b/tests/LimitSharesTest.cpp
@@ -81,13 +81,13 @@
     const table::Workspace &workspace = *Hundred.workspace("w");
     const agent::LimitDecision first = agent::admit(shares, workspace, Start);
     REQUIRE(first.verdict == agent::LimitVerdict::NoShare);
-    REQUIRE(first.ask);
+    REQUIRE(first.shouldAskControl);
     REQUIRE(first.retryAfter > 0ms);
-    REQUIRE_FALSE(agent::admit(shares, workspace, Start + 1ms).ask);
+    REQUIRE_FALSE(agent::admit(shares, workspace, Start + 1ms).shouldAskControl);
     wire::Renew renew;
     agent::reportDemand(shares, renew, true, Start + 2ms);
     REQUIRE(renew.demands(0).permits_wanted() == 2);
-    REQUIRE(agent::admit(shares, workspace, Start + 1s).ask);
+    REQUIRE(agent::admit(shares, workspace, Start + 1s).shouldAskControl);
 }
 
 // Guards against an agent that was frozen or cut off and goes on with a share that control has given to others.
--- a/tests/LoadSketchTest.cpp
+++ b/tests/LoadSketchTest.cpp
@@ -49,7 +49,7 @@
         const std::uint64_t hash = hot ? HotKey : (std::uint64_t{random()} << 32U) + random();
         agent::countRequest(sketch, map, "catalogue", hash);
     }
-    REQUIRE(sketch.services.at("catalogue").keys.size() <= agent::LoadSketch::MostKeys);
+    REQUIRE(sketch.services.at("catalogue").keys.size() <= agent::LoadSketch::MaxTrackedKeys);
     wire::Renew renew;
     agent::reportLoad(sketch, map, ownership, Start + 10s, renew);
     REQUIRE(renew.hot_keys_size() == 1);
--- a/tests/LoadBookTest.cpp
+++ b/tests/LoadTrackerTest.cpp
@@ -1,4 +1,4 @@
-#include "control/LoadBook.h"
+#include "control/LoadTracker.h"
 #include "control/Assignment.h"
 
 #include <catch2/catch.hpp>
@@ -58,7 +58,7 @@
  */
 TEST_CASE("loads: keys follow the speed of upstreams, so that no slow one is over its slots while others are free")
 {
-    LoadBook loads;
+    LoadTracker loads;
     std::vector<Member> equal;
     std::vector<Member> bySpeed;
     for (std::uint32_t upstream = 0; upstream < WorkSeconds.size(); ++upstream) {
@@ -66,7 +66,7 @@
     }
     for (std::uint32_t upstream = 0; upstream < WorkSeconds.size(); ++upstream) {
         equal.push_back({upstream, 1});
-        bySpeed.push_back({upstream, loads.speeds("seats", Start).at(upstream)});
+        bySpeed.push_back({upstream, loads.relativeSpeeds("seats", Start).at(upstream)});
     }
     CHECK(busiest(equal) > 1);
     CHECK(busiest(bySpeed) < 0.8);
@@ -74,20 +74,20 @@
 
 TEST_CASE("loads: an upstream's speed is known from its first report on, follows reports, and is bounded")
 {
-    LoadBook loads;
-    REQUIRE(loads.speeds("seats", Start).empty());
+    LoadTracker loads;
+    REQUIRE(loads.relativeSpeeds("seats", Start).empty());
     loads.report(reportOf(1, 0.1F, 60), Start);
     loads.report(reportOf(2, 0.1F, 60), Start);
-    REQUIRE(loads.speeds("seats", Start).at(1) == Approx(1));
-    REQUIRE_FALSE(loads.speeds("seats", Start).contains(3));
+    REQUIRE(loads.relativeSpeeds("seats", Start).at(1) == Approx(1));
+    REQUIRE_FALSE(loads.relativeSpeeds("seats", Start).contains(3));
     loads.report(reportOf(2, 0.3F, 60), Start + 1s);
-    REQUIRE(loads.speeds("seats", Start + 1s).at(2) == Approx(2.0 / 3));
-    REQUIRE(loads.speeds("seats", Start + 1s).at(1) == Approx(4.0 / 3));
+    REQUIRE(loads.relativeSpeeds("seats", Start + 1s).at(2) == Approx(2.0 / 3));
+    REQUIRE(loads.relativeSpeeds("seats", Start + 1s).at(1) == Approx(4.0 / 3));
     loads.report(reportOf(2, 1000.0F, 6000), Start + 2s);
-    REQUIRE(loads.speeds("seats", Start + 2s).at(2) == Approx(0.3));
-    REQUIRE(loads.speeds("seats", Start + 2s).at(1) == Approx(2).epsilon(0.01));
+    REQUIRE(loads.relativeSpeeds("seats", Start + 2s).at(2) == Approx(0.3));
+    REQUIRE(loads.relativeSpeeds("seats", Start + 2s).at(1) == Approx(2).epsilon(0.01));
     loads.report(reportOf(1, 0, 10), Start + 3s);
-    REQUIRE(loads.speeds("seats", Start + 3s).at(1) == Approx(2).epsilon(0.01));
+    REQUIRE(loads.relativeSpeeds("seats", Start + 3s).at(1) == Approx(2).epsilon(0.01));
 }
 
 /*
@@ -96,13 +96,13 @@
  */
 TEST_CASE("loads: an upstream that answers nothing for a minute is forgotten")
 {
-    LoadBook loads;
+    LoadTracker loads;
     for (std::uint32_t upstream = 0; upstream < 1000; ++upstream) {
         loads.report(reportOf(upstream, 0.1F, 10), Start);
     }
     loads.report(reportOf(7, 0.1F, 10), Start + 50s);
-    REQUIRE(loads.speeds("seats", Start + 59s).size() == 1000);
-    const auto left = loads.speeds("seats", Start + 61s);
+    REQUIRE(loads.relativeSpeeds("seats", Start + 59s).size() == 1000);
+    const auto left = loads.relativeSpeeds("seats", Start + 61s);
     REQUIRE(left.size() == 1);
     REQUIRE(left.at(7) == Approx(1));
 }
--- a/tests/LocalUpstreamTest.cpp
+++ b/tests/LocalUpstreamTest.cpp
@@ -24,7 +24,7 @@
     Beside()
     {
         this->state.protocol = &platform::agentProtocol();
-        this->state.ownership.upstreamsHold = true;
+        this->state.ownership.upstreamsHoldGrants = true;
         this->state.lease.validUntil = BootClock::now() + 10s;
         LocalUpstreamEvents events;
         events.changed = [] {};
@@ -91,15 +91,15 @@
 {
     Beside beside;
     REQUIRE_FALSE(beside.upstream->heartbeat(Beside::heartbeat(1)).holdFor);
-    REQUIRE_FALSE(beside.state.ownership.heardFrom.contains("seats"));
+    REQUIRE_FALSE(beside.state.ownership.servicesReported.contains("seats"));
 
     beside.putTable(wire::GRANT_WAY_CALL);
     REQUIRE_FALSE(beside.upstream->heartbeat(Beside::heartbeat(2)).holdFor);
-    REQUIRE_FALSE(beside.state.ownership.heardFrom.contains("seats"));
+    REQUIRE_FALSE(beside.state.ownership.servicesReported.contains("seats"));
 
     beside.putTable(wire::GRANT_WAY_HEARTBEAT);
     REQUIRE(beside.upstream->heartbeat(Beside::heartbeat(3)).holdFor);
-    REQUIRE(beside.state.ownership.heardFrom.contains("seats"));
+    REQUIRE(beside.state.ownership.servicesReported.contains("seats"));
 }
 
 /*
@@ -112,7 +112,7 @@
     beside.putTable(wire::GRANT_WAY_HEARTBEAT);
     REQUIRE(beside.takesRequest());
     Heartbeat leaving = Beside::heartbeat(1);
-    leaving.leaving = true;
+    leaving.isDraining = true;
     beside.upstream->heartbeat(leaving);
     REQUIRE_FALSE(beside.upstream->takesWork());
     // Requests that are on their way while the others hear of it are served.
--- a/tests/LogTest.cpp
+++ b/tests/LogTest.cpp
@@ -36,9 +36,9 @@
     for (int i = 0; i < 60000; ++i, now += 1ms) {
         written += limiter.allow(noisy, now).has_value() ? 1 : 0;
     }
-    CHECK(written == 6 * loop::LogLimiter::MostPerWindow);
+    CHECK(written == 6 * loop::LogLimiter::MaxPerWindow);
     CHECK(limiter.allow(rare, now) == std::optional<std::uint64_t>(0));
-    CHECK(limiter.allow(noisy, now + 10s) == std::optional<std::uint64_t>(10000 - loop::LogLimiter::MostPerWindow));
+    CHECK(limiter.allow(noisy, now + 10s) == std::optional<std::uint64_t>(10000 - loop::LogLimiter::MaxPerWindow));
 }
 
 TEST_CASE("a caller's key is told as a hash only")
@@ -127,7 +127,7 @@
     BootTime now{1h};
     unsigned written = 0;
     for (int i = 0; i < 10000; ++i, now += 1ms) {
-        written += limiter.allow(site, now, loop::OrdinaryBound).has_value() ? 1 : 0;
+        written += limiter.allow(site, now, loop::RoutineBound).has_value() ? 1 : 0;
     }
-    CHECK(written == 10 * loop::OrdinaryBound.most);
+    CHECK(written == 10 * loop::RoutineBound.maxMessages);
 }
--- a/tests/GroupPlanTest.cpp
+++ b/tests/MembershipPlanTest.cpp
@@ -1,4 +1,4 @@
-#include "raft/GroupPlan.h"
+#include "raft/MembershipPlan.h"
 
 #include <catch2/catch.hpp>
 
@@ -17,9 +17,9 @@
     return made;
 }
 
-raft::GroupFacts groupOf(std::size_t voters)
+raft::MembershipFacts groupOf(std::size_t voters)
 {
-    raft::GroupFacts facts;
+    raft::MembershipFacts facts;
     facts.wantedVoters = Wanted;
     for (std::size_t number = 0; number < voters; ++number) {
         const std::string name = std::to_string(number);
@@ -29,7 +29,7 @@
 }
 
 /** Carries out a change as consensus would; a learner has caught up at once. */
-void carryOut(raft::GroupFacts &facts, const wire::ChangeMember &change)
+void carryOut(raft::MembershipFacts &facts, const wire::ChangeMember &change)
 {
     wire::Membership next;
     for (const wire::Replica &member : facts.members.replicas()) {
@@ -52,13 +52,13 @@
 }
 
 /** Makes every change there is. @return how many voters there were at the fewest that aren't gone */
-std::size_t settle(raft::GroupFacts &facts)
+std::size_t settle(raft::MembershipFacts &facts)
 {
     std::size_t fewest = 100;
     for (int step = 0; step < 30; ++step) {
         std::size_t answering = 0;
         for (const wire::Replica &member : facts.members.replicas()) {
-            answering += member.voter() && !facts.gone.contains(member.id()) ? 1 : 0;
+            answering += member.voter() && !facts.unresponsive.contains(member.id()) ? 1 : 0;
         }
         fewest = std::min(fewest, answering);
         REQUIRE(2 * answering > raft::countVoters(facts.members));
@@ -76,7 +76,7 @@
 
 TEST_CASE("group: three founders take in two more by themselves, one change at a time")
 {
-    raft::GroupFacts facts = groupOf(3);
+    raft::MembershipFacts facts = groupOf(3);
     facts.joiners = {replica("r3", "vm3", false), replica("r4", "vm4", false)};
     settle(facts);
     REQUIRE(raft::countVoters(facts.members) == 5);
@@ -88,20 +88,20 @@
  */
 TEST_CASE("group: two replicas with empty disks at old addresses take the places of the old ones")
 {
-    raft::GroupFacts facts = groupOf(5);
-    facts.gone = {"r1", "r3"};
+    raft::MembershipFacts facts = groupOf(5);
+    facts.unresponsive = {"r1", "r3"};
     facts.joiners = {replica("n1", "vm1", false), replica("n3", "vm3", false)};
     REQUIRE(settle(facts) == 3);
     REQUIRE(raft::countVoters(facts.members) == 5);
     for (const wire::Replica &member : facts.members.replicas()) {
-        REQUIRE_FALSE(facts.gone.contains(member.id()));
+        REQUIRE_FALSE(facts.unresponsive.contains(member.id()));
     }
 }
 
 TEST_CASE("group: a replica at a new address takes the place of one that is gone for good")
 {
-    raft::GroupFacts facts = groupOf(5);
-    facts.gone = {"r2"};
+    raft::MembershipFacts facts = groupOf(5);
+    facts.unresponsive = {"r2"};
     facts.joiners = {replica("n", "vm9", false)};
     settle(facts);
     REQUIRE(raft::countVoters(facts.members) == 5);
@@ -112,17 +112,17 @@
 
 TEST_CASE("group: a replica that is only away stays a member while nobody comes in its place")
 {
-    raft::GroupFacts facts = groupOf(5);
-    facts.gone = {"r0", "r1"};
+    raft::MembershipFacts facts = groupOf(5);
+    facts.unresponsive = {"r0", "r1"};
     REQUIRE_FALSE(raft::nextChange(facts));
 }
 
 TEST_CASE("group: a learner that fell silent or was replaced again is removed before it holds up others")
 {
-    raft::GroupFacts facts = groupOf(5);
+    raft::MembershipFacts facts = groupOf(5);
     *facts.members.add_replicas() = replica("n1", "vm1", false);
     facts.joiners = {replica("n2", "vm1", false)};
-    facts.gone = {"r1", "n1"};
+    facts.unresponsive = {"r1", "n1"};
     const auto first = raft::nextChange(facts);
     REQUIRE(first->change() == wire::ChangeMember::CHANGE_REMOVE);
     REQUIRE(first->replica().id() == "n1");
--- a/tests/OwnershipTest.cpp
+++ b/tests/OwnershipTest.cpp
@@ -47,7 +47,7 @@
         this->lease.validUntil = Now + 500ms;
     }
 
-    agent::Refusal check(std::uint64_t hash, BootTime now = Now) const
+    agent::OwnershipRefusal check(std::uint64_t hash, BootTime now = Now) const
     {
         agent::Slice slice;
         return agent::checkOwnership(this->ownership, this->map, this->lease, "catalogue", hash, now, &slice);
@@ -69,13 +69,13 @@
 TEST_CASE("an agent serves only what it owns, under a lease, and not what is being moved")
 {
     Agent agent;
-    REQUIRE(agent.check(5) == agent::Refusal::None);
-    REQUIRE(agent.check(Half) == agent::Refusal::NotOwner);
-    REQUIRE(agent.check(5, Now + 500ms) == agent::Refusal::NoLease);
+    REQUIRE(agent.check(5) == agent::OwnershipRefusal::None);
+    REQUIRE(agent.check(Half) == agent::OwnershipRefusal::NotOwner);
+    REQUIRE(agent.check(5, Now + 500ms) == agent::OwnershipRefusal::NoLease);
     agent.revoke(0, 1);
-    REQUIRE(agent.check(5) == agent::Refusal::Moving);
+    REQUIRE(agent.check(5) == agent::OwnershipRefusal::Moving);
     REQUIRE(agent::checkOwnership(agent.ownership, agent.map, agent.lease, "enrolments", 5, Now, nullptr)
-            == agent::Refusal::NotOwner);
+            == agent::OwnershipRefusal::NotOwner);
 }
 
 // An operator's change is undone: an agent reconnected to a replica on the far side of a partition, which sent it the
@@ -85,15 +85,15 @@
     Agent agent;
     wire::StateUpdate change = update(5, false);
     change.mutable_table()->set_table_version(2);
-    REQUIRE(agent::apply(agent.map, change) == agent::UpdateEnd::Applied);
+    REQUIRE(agent::apply(agent.map, change) == agent::UpdateOutcome::Applied);
     wire::StateUpdate old = update(4, true);
     old.mutable_table()->set_table_version(1);
-    REQUIRE(agent::apply(agent.map, old) == agent::UpdateEnd::Older);
+    REQUIRE(agent::apply(agent.map, old) == agent::UpdateOutcome::Older);
     REQUIRE(agent.map.tableVersion == 2);
-    REQUIRE(agent.check(5) == agent::Refusal::None);
+    REQUIRE(agent.check(5) == agent::OwnershipRefusal::None);
     wire::StateUpdate lowerTerm = update(9, true);
     lowerTerm.mutable_version()->set_term(2);
-    REQUIRE(agent::apply(agent.map, lowerTerm) == agent::UpdateEnd::Older);
+    REQUIRE(agent::apply(agent.map, lowerTerm) == agent::UpdateOutcome::Older);
 }
 
 // A payment runs on two upstreams' state at once: the slice was split while a request ran on it, then its upper part
@@ -107,13 +107,13 @@
     agent::apply(agent.map, split);
     agent.revoke(50, 2);
     REQUIRE(agent::takeReleased(agent.ownership, agent.map).slices().empty());
-    REQUIRE(agent.check(100) == agent::Refusal::Moving);
-    REQUIRE(agent.check(49) == agent::Refusal::None);
+    REQUIRE(agent.check(100) == agent::OwnershipRefusal::Moving);
+    REQUIRE(agent.check(49) == agent::OwnershipRefusal::None);
     agent.revoke(0, 1);
     REQUIRE(agent::takeReleased(agent.ownership, agent.map).slices_size() == 1);
     agent::endWork(agent.ownership, "catalogue", 100);
     REQUIRE(agent::takeReleased(agent.ownership, agent.map).slices(0).begin() == 50);
-    REQUIRE(agent.check(100) == agent::Refusal::Moving);
+    REQUIRE(agent.check(100) == agent::OwnershipRefusal::Moving);
 }
 
 // A key has two owners: an agent released it, the leader granted it on and fell, and the new leader's first state,
@@ -123,13 +123,13 @@
     Agent agent;
     agent.revoke(0, 1);
     agent::takeReleased(agent.ownership, agent.map);
-    REQUIRE(agent.check(5) == agent::Refusal::Moving);
+    REQUIRE(agent.check(5) == agent::OwnershipRefusal::Moving);
     REQUIRE(agent::resumeReleased(agent.ownership, agent.map).slices_size() == 1);
-    REQUIRE(agent.check(5) == agent::Refusal::Moving);
+    REQUIRE(agent.check(5) == agent::OwnershipRefusal::Moving);
     wire::StateUpdate regrant = update(3, false);
     give(regrant, 0, 7, 2);
     agent::apply(agent.map, regrant);
-    REQUIRE(agent.check(5) == agent::Refusal::None);
+    REQUIRE(agent.check(5) == agent::OwnershipRefusal::None);
     REQUIRE(agent::resumeReleased(agent.ownership, agent.map).slices().empty());
 }
 
@@ -142,7 +142,7 @@
     agent.revoke(0, 1);
     REQUIRE(agent::takeReleased(agent.ownership, agent.map).slices().empty());
     REQUIRE(agent::resumeReleased(agent.ownership, agent.map).slices().empty());
-    REQUIRE(agent.check(5) == agent::Refusal::Moving);
+    REQUIRE(agent.check(5) == agent::OwnershipRefusal::Moving);
     agent::endWork(agent.ownership, "catalogue", 5);
     REQUIRE(agent::takeReleased(agent.ownership, agent.map).slices_size() == 1);
 }
--- a/tests/PlatformGrantsTest.cpp
+++ b/tests/PlatformGrantsTest.cpp
@@ -14,7 +14,7 @@
 {
     agent::GrantOrder order;
     order.kind = kind;
-    order.range = {placeOfKey(4096), placeOfKey(8192) - 1, 12};
+    order.range = {hashOfNumberedKey(4096), hashOfNumberedKey(8192) - 1, 12};
     order.holdFor = 1800ms;
     order.handover = "5c0e7a21d94b36f8";
     return order;
@@ -28,12 +28,12 @@
     return worker;
 }
 
-agent::OrderEnd endOf(int status, std::vector<net::Header> headers = {}, std::string body = {})
+agent::OrderOutcome endOf(int status, std::vector<net::Header> headers = {}, std::string body = {})
 {
     net::CallResult result;
-    result.end = net::CallEnd::Answered;
+    result.outcome = net::CallOutcome::Answered;
     result.answer = {status, std::move(headers), std::move(body)};
-    return platform::readOrderAnswer(result).end;
+    return platform::readOrderAnswer(result).outcome;
 }
 
 } // namespace
@@ -59,36 +59,36 @@
  */
 TEST_CASE("platform: only a plain success says that an order was carried out")
 {
-    using agent::OrderEnd;
-    CHECK(endOf(200) == OrderEnd::Done);
-    CHECK(endOf(200, {}, "no JSON at all") == OrderEnd::Done);
-    CHECK(endOf(409) == OrderEnd::Outdated);
-    CHECK(endOf(400) == OrderEnd::NotTaken);
-    CHECK(endOf(421) == OrderEnd::NotTaken);
+    using agent::OrderOutcome;
+    CHECK(endOf(200) == OrderOutcome::Done);
+    CHECK(endOf(200, {}, "no JSON at all") == OrderOutcome::Done);
+    CHECK(endOf(409) == OrderOutcome::Outdated);
+    CHECK(endOf(400) == OrderOutcome::NotReceived);
+    CHECK(endOf(421) == OrderOutcome::NotReceived);
     for (const int status : {201, 204, 301, 404, 429, 500, 502, 503, 504}) {
-        CHECK(endOf(status) == OrderEnd::Unknown);
+        CHECK(endOf(status) == OrderOutcome::Unknown);
     }
-    for (const net::CallEnd end : {net::CallEnd::Broken,
-                                   net::CallEnd::ShortAnswer,
-                                   net::CallEnd::TooLarge,
-                                   net::CallEnd::TimedOut,
-                                   net::CallEnd::Cancelled}) {
+    for (const net::CallOutcome outcome : {net::CallOutcome::ConnectionLost,
+                                           net::CallOutcome::TruncatedAnswer,
+                                           net::CallOutcome::TooLarge,
+                                           net::CallOutcome::TimedOut,
+                                           net::CallOutcome::Cancelled}) {
         net::CallResult result;
-        result.end = end;
+        result.outcome = outcome;
         result.mayHaveRun = true;
         result.answer.status = 200;
-        CHECK(platform::readOrderAnswer(result).end == OrderEnd::Unknown);
+        CHECK(platform::readOrderAnswer(result).outcome == OrderOutcome::Unknown);
     }
-    CHECK(platform::readOrderAnswer({}).end == OrderEnd::NotTaken);
+    CHECK(platform::readOrderAnswer({}).outcome == OrderOutcome::NotReceived);
 }
 
 TEST_CASE("platform: a handover is passed on as it came, and one of any length is left out")
 {
     net::CallResult result;
-    result.end = net::CallEnd::Answered;
+    result.outcome = net::CallOutcome::Answered;
     result.answer = {200, {{"X-Handover", "5c0e"}}, ""};
     CHECK(platform::readOrderAnswer(result).handover == "5c0e");
     result.answer.headers = {{"X-Handover", std::string(100000, 'x')}};
     CHECK(platform::readOrderAnswer(result).handover.empty());
-    CHECK(platform::readOrderAnswer(result).end == agent::OrderEnd::Done);
+    CHECK(platform::readOrderAnswer(result).outcome == agent::OrderOutcome::Done);
 }
--- a/tests/PlatformTest.cpp
+++ b/tests/PlatformTest.cpp
@@ -75,7 +75,7 @@
     const wire::PutRoutes change = platform::readManifest(ManifestText, false).value();
     REQUIRE(change.base_revision() == 5);
     REQUIRE(change.table().revision() == 10);
-    REQUIRE(table::findingsIn(change.table()).empty());
+    REQUIRE(table::validateRoutes(change.table()).empty());
     const wire::Route &first = change.table().routes(0);
     REQUIRE(first.kind() == wire::ROUTE_KIND_IDEMPOTENT);
     REQUIRE(first.timeout_ms() == 1200);
@@ -101,7 +101,7 @@
     const table::RouteTable routes(change.table());
     const table::Route *upload = routes.find("b.example", "/q/r/x");
     REQUIRE(upload->kind == table::RouteKind::Upload);
-    REQUIRE_FALSE(table::mayRepeat(upload->kind));
+    REQUIRE_FALSE(table::canRetry(upload->kind));
     text.replace(text.find("\"upload\""), std::string("\"upload\"").size(), "\"download\"");
     REQUIRE(platform::readManifest(text, false).error().front().place == "route r2");
 }
@@ -196,13 +196,14 @@
     REQUIRE(read.announcement.slots == 6);
     REQUIRE(read.sequence == 4);
     REQUIRE(read.coldFor == 250ms);
-    REQUIRE_FALSE(read.leaving);
+    REQUIRE_FALSE(read.isDraining);
     REQUIRE(read.held.front().keys == process::KeyRange{0, 4095});
     REQUIRE(read.held.front().epoch == 7);
-    REQUIRE(read.freed.front().handover == "abc");
-    const process::Heartbeat farewell = platform::readHeartbeat(request("DELETE", "/api/instances/i-1", {})).value();
-    REQUIRE(farewell.farewell);
-    REQUIRE(farewell.leaving);
+    REQUIRE(read.releasedKeys.front().handover == "abc");
+    const process::Heartbeat deregistration =
+        platform::readHeartbeat(request("DELETE", "/api/instances/i-1", {})).value();
+    REQUIRE(deregistration.isDeregistration);
+    REQUIRE(deregistration.isDraining);
 }
 
 TEST_CASE("platform: heartbeats of other writers name nobody, and all that is wrong with them is told")
@@ -248,16 +249,16 @@
         const auto parsed = std::get<process::ParsedRequest>(
             platform::agentProtocol().readRequest(keyed, manifestTable(), random, Now));
         REQUIRE(parsed.facts.deadline == Now + 700ms);
-        REQUIRE(parsed.facts.mostTries == 2);
-        REQUIRE(agent::mayRepeat(parsed.facts));
+        REQUIRE(parsed.facts.maxTries == 2);
+        REQUIRE(agent::canRetry(parsed.facts));
         REQUIRE(parsed.facts.keyed == (parsed.facts.service == "s1"));
-        REQUIRE((!parsed.facts.keyed || parsed.facts.hash == placeOfKey(65535)));
+        REQUIRE((!parsed.facts.keyed || parsed.facts.hash == hashOfNumberedKey(65535)));
     }
     const net::HttpRequest post =
         request("POST", "/q/r/x", {{"Host", "b.example"}, {"X-Request-Id", "id"}, {"X-Deadline-Ms", "9000"}});
     const auto parsed = std::get<process::ParsedRequest>(readCaller(post));
     REQUIRE(parsed.facts.deadline == Now + 1500ms);
-    REQUIRE_FALSE(agent::mayRepeat(parsed.facts));
+    REQUIRE_FALSE(agent::canRetry(parsed.facts));
 }
 
 TEST_CASE("platform: requests that can't be routed are told why; without routes nobody is told that there are none")
@@ -286,47 +287,48 @@
     REQUIRE(headers == std::vector<net::Header>{{"X-Request-Id", "id"}, {"X-Shard-Key", "3"}, {"Host", "a.example"}});
     net::HttpCall call;
     call.headers = headers;
-    platform::agentProtocol().addOrder(
+    platform::agentProtocol().addRequestMetadata(
         call, {.epoch = 1, .requestId = "r", .timeout = 800ms, .originService = "s9", .instance = "i-1"});
     REQUIRE(*net::findHeader(call.headers, "X-Deadline-Ms") == "800");
     REQUIRE(*net::findHeader(call.headers, "X-Downstream-Service") == "s9");
     REQUIRE(*net::findHeader(call.headers, "X-Expected-Instance") == "i-1");
-    REQUIRE(call.echoed == net::Header{"X-Request-Id", "id"});
+    REQUIRE(call.expectedEcho == net::Header{"X-Request-Id", "id"});
 }
 
 TEST_CASE("platform: only answers that a worker made count as answers, and only its refusals as not run")
 {
-    const auto outcome = [](int status, std::vector<net::Header> headers) {
+    const auto readResult = [](int status, std::vector<net::Header> headers) {
         net::CallResult result;
-        result.end = net::CallEnd::Answered;
+        result.outcome = net::CallOutcome::Answered;
         result.mayHaveRun = true;
         result.answer = {status, std::move(headers), {}};
-        return platform::agentProtocol().readOutcome(result);
+        return platform::agentProtocol().readAttemptResult(result);
     };
     const net::Header signedBy{"X-Upstream-Signature", "x"};
-    REQUIRE(outcome(200, {signedBy}).end == agent::AttemptEnd::Answered);
-    REQUIRE(outcome(200, {}).end == agent::AttemptEnd::Broken);
-    REQUIRE(outcome(200, {signedBy, {"Content-Encoding", "gzip"}}).end == agent::AttemptEnd::Broken);
-    REQUIRE(outcome(500, {signedBy}).end == agent::AttemptEnd::Answered);
-    REQUIRE_FALSE(outcome(503, {{"X-Not-Executed", "1"}}).mayHaveRun);
-    REQUIRE_FALSE(outcome(421, {}).mayHaveRun);
-    REQUIRE(outcome(503, {}).mayHaveRun);
-    REQUIRE(outcome(200, {signedBy, {"X-Not-Executed", "1"}}).mayHaveRun);
+    REQUIRE(readResult(200, {signedBy}).outcome == agent::AttemptOutcome::Answered);
+    REQUIRE(readResult(200, {}).outcome == agent::AttemptOutcome::ConnectionLost);
+    REQUIRE(readResult(200, {signedBy, {"Content-Encoding", "gzip"}}).outcome == agent::AttemptOutcome::ConnectionLost);
+    REQUIRE(readResult(500, {signedBy}).outcome == agent::AttemptOutcome::Answered);
+    REQUIRE_FALSE(readResult(503, {{"X-Not-Executed", "1"}}).mayHaveRun);
+    REQUIRE_FALSE(readResult(421, {}).mayHaveRun);
+    REQUIRE(readResult(503, {}).mayHaveRun);
+    REQUIRE(readResult(200, {signedBy, {"X-Not-Executed", "1"}}).mayHaveRun);
 }
 
 TEST_CASE("platform: a refusal promises that the request didn't run only where that is sure")
 {
     pcg32 random(1);
-    const auto status = [&](agent::RefusalFacts facts) {
+    const auto status = [&](agent::RefusalDetails facts) {
         return platform::agentProtocol().refuse({facts, &random}).status;
     };
-    REQUIRE(status({.end = agent::AttemptEnd::NoRoom, .status = 503, .ran = agent::Ran::No}) == 503);
-    REQUIRE(status({.end = agent::AttemptEnd::NoRoom, .status = 503, .ran = agent::Ran::Unknown}) == 502);
-    REQUIRE(status({.end = agent::AttemptEnd::OverLimit, .status = 429, .ran = agent::Ran::Unknown}) == 502);
+    REQUIRE(status({.outcome = agent::AttemptOutcome::Overloaded, .status = 503, .ran = agent::Ran::No}) == 503);
+    REQUIRE(status({.outcome = agent::AttemptOutcome::Overloaded, .status = 503, .ran = agent::Ran::Unknown}) == 502);
+    REQUIRE(status({.outcome = agent::AttemptOutcome::OverLimit, .status = 429, .ran = agent::Ran::Unknown}) == 502);
     REQUIRE(status({.cause = agent::RefusalCause::DeadlinePassed, .status = 504, .ran = agent::Ran::Unknown}) == 504);
     REQUIRE(status({.cause = agent::RefusalCause::DeadlinePassed, .status = 504, .ran = agent::Ran::No}) == 503);
     const net::HttpAnswer answer = platform::agentProtocol().refuse(
-        {{.end = agent::AttemptEnd::NoRoom, .status = 503, .ran = agent::Ran::No, .retryAfter = true}, &random});
+        {{.outcome = agent::AttemptOutcome::Overloaded, .status = 503, .ran = agent::Ran::No, .retryAfter = true},
+         &random});
     const double seconds = std::stod(*net::findHeader(answer.headers, "Retry-After"));
     REQUIRE(seconds > 0);
     REQUIRE(seconds < 1);
@@ -344,7 +346,7 @@
     REQUIRE(settings.announcePort == 8620);
     REQUIRE(settings.controls == std::vector<std::string>{"10.1.0.46:7600", "10.2.0.28:7600"});
     REQUIRE(settings.upstreamAddress == "10.1.0.41:8628");
-    REQUIRE(settings.longestStop == 4000ms);
+    REQUIRE(settings.maxStopTime == 4000ms);
 }
 
 TEST_CASE("platform: settings of a control replica name the group's seeds and the voters that losses call for")
@@ -459,7 +461,7 @@
     for (const char *credentials : {"Token key-n1", "token key-n2", "TOKEN  key-n1"}) {
         const process::ParsedRequest parsed = identified(credentials);
         REQUIRE(parsed.workspace == "north");
-        REQUIRE(parsed.credentialsTaken);
+        REQUIRE(parsed.credentialsConsumed);
         REQUIRE(parsed.targets.priority == 0);
     }
     const process::ParsedRequest south = identified("Token key-s");
@@ -502,12 +504,12 @@
     call.headers = protocol.headersToForward(received, parsed);
     REQUIRE(net::findHeader(call.headers, "Authorization") == nullptr);
     REQUIRE(net::findHeader(call.headers, "X-Tenant-Id") == nullptr);
-    process::RequestOrder order;
-    order.workspace = parsed.workspace;
-    protocol.addOrder(call, order);
+    process::RequestMetadata metadata;
+    metadata.workspace = parsed.workspace;
+    protocol.addRequestMetadata(call, metadata);
     REQUIRE(*net::findHeader(call.headers, "X-Tenant-Id") == "south");
     net::HttpCall without;
-    protocol.addOrder(without, process::RequestOrder());
+    protocol.addRequestMetadata(without, process::RequestMetadata());
     REQUIRE(net::findHeader(without.headers, "X-Tenant-Id") == nullptr);
 }
 
--- a/tests/PlatformWorker.cpp
+++ b/tests/PlatformWorker.cpp
@@ -170,7 +170,7 @@
     call.body = body.dump();
     this->client->send(std::move(call), [this, sentAt](const net::CallResult &result) {
         const json answer = json::parse(result.answer.body, nullptr, false);
-        if (result.end != net::CallEnd::Answered || !answer.is_object() || !answer.contains("holds")) {
+        if (result.outcome != net::CallOutcome::Answered || !answer.is_object() || !answer.contains("holds")) {
             return;
         }
         std::vector<std::array<std::uint64_t, 3>> wanted;
--- a/tests/RaftCoreTest.cpp
+++ b/tests/RaftCoreTest.cpp
@@ -246,7 +246,7 @@
     Played a({entryAt(2, 1)});
     a.becomeLeader();
     a.receive(a.acknowledgement("b", 2));
-    a.core->handOver();
+    a.core->transferLeadership();
     a.turn();
     const auto asked = [&a] {
         const std::vector<raft::SendMessage> sent = a.taken<raft::SendMessage>();
--- a/tests/RaftFaultTest.cpp
+++ b/tests/RaftFaultTest.cpp
@@ -60,7 +60,7 @@
         {"hand-over",
          [](RaftPump &pump) {
              pump.askLeader([](raft::RaftCore &core, raft::RequestId) {
-                 core.handOver();
+                 core.transferLeadership();
              });
          }},
     };
--- a/tests/RaftPump.cpp
+++ b/tests/RaftPump.cpp
@@ -166,7 +166,7 @@
 {
     FakeReplica *best = nullptr;
     for (auto &[id, replica] : this->replicas) {
-        const bool leads = replica.core && !replica.frozen && replica.core->leads();
+        const bool leads = replica.core && !replica.frozen && replica.core->isLeader();
         if (leads && (best == nullptr || replica.core->term() > best->core->term())) {
             best = &replica;
         }
@@ -301,7 +301,7 @@
     this->changes.push_back(std::move(action));
 }
 
-void RaftPump::perform(FakeReplica &, raft::HandOverEnded &)
+void RaftPump::perform(FakeReplica &, raft::LeadershipTransferEnded &)
 {
     this->handOversEnded++;
 }
--- a/tests/RaftPump.h
+++ b/tests/RaftPump.h
@@ -67,7 +67,7 @@
     void perform(FakeReplica &replica, raft::LostLeadership &action);
     void perform(FakeReplica &replica, raft::Confirmed &action);
     void perform(FakeReplica &replica, raft::MemberChanged &action);
-    void perform(FakeReplica &replica, raft::HandOverEnded &action);
+    void perform(FakeReplica &replica, raft::LeadershipTransferEnded &action);
 
     const std::uint64_t seed;
     raft::RaftSettings settings;
--- a/tests/RaftRepairTest.cpp
+++ b/tests/RaftRepairTest.cpp
@@ -216,11 +216,11 @@
     const std::uint64_t confirmed = pump.confirmed;
     const std::uint64_t acknowledged = pump.acknowledged;
     pump.runFor(100ms);
-    REQUIRE(old.core->leads());
+    REQUIRE(old.core->isLeader());
     REQUIRE(pump.confirmed == confirmed);
     REQUIRE(pump.acknowledged == acknowledged);
     pump.runFor(400ms);
-    REQUIRE_FALSE(old.core->leads());
+    REQUIRE_FALSE(old.core->isLeader());
 }
 
 // A planned stop of the leader: callers should wait for less than an election timeout.
@@ -232,7 +232,7 @@
         REQUIRE(commitsMore(pump, 5));
         const std::string old = pump.leader()->id;
         pump.askLeader([](raft::RaftCore &core, raft::RequestId) {
-            core.handOver();
+            core.transferLeadership();
         });
         REQUIRE(pump.runUntil(
             [&] {
--- a/tests/ReplicaGroup.h
+++ b/tests/ReplicaGroup.h
@@ -161,7 +161,7 @@
             if (!asked && !this->leader.empty()) {
                 asked = true;
                 this->nodes.at(this->leader)->propose(command, [&](const process::ProposeResult &result) {
-                    applied = result.kind == process::ProposeEnd::Applied;
+                    applied = result.kind == process::ProposeOutcome::Applied;
                     asked = applied;
                 });
             }
--- a/tests/ReplicaNodeTest.cpp
+++ b/tests/ReplicaNodeTest.cpp
@@ -40,7 +40,7 @@
     for (int number = 0; number < 500; ++number) {
         group.nodes.at(group.leader)
             ->propose("change " + std::to_string(number), [&](const process::ProposeResult &result) {
-                applied += result.kind == process::ProposeEnd::Applied ? 1 : 0;
+                applied += result.kind == process::ProposeOutcome::Applied ? 1 : 0;
             });
     }
     group.runUntil([&] {
@@ -81,7 +81,7 @@
             if (!asked && !done && !group.leader.empty()) {
                 asked = true;
                 group.nodes.at(group.leader)->changeMembership(request, [&](const process::ProposeResult &result) {
-                    done = result.kind == process::ProposeEnd::Applied;
+                    done = result.kind == process::ProposeOutcome::Applied;
                     asked = false;
                 });
             }
@@ -112,9 +112,9 @@
     group.commit("one");
     first = group.leader;
     failing = true;
-    process::ProposeEnd end = process::ProposeEnd::NotLeader;
+    process::ProposeOutcome outcome = process::ProposeOutcome::NotLeader;
     group.nodes.at(first)->propose("two", [&](const process::ProposeResult &result) {
-        end = result.kind;
+        outcome = result.kind;
     });
     group.runUntil([&] {
         return group.stopped.contains(first) && !group.leader.empty() && group.leader != first;
@@ -123,7 +123,7 @@
     group.commit("three");
     // Followers may have committed it before the leader's own sync failed; then the answer was true.
     const bool kept = group.states[group.leader][1] == "two";
-    REQUIRE((end == process::ProposeEnd::Unknown || kept));
+    REQUIRE((outcome == process::ProposeOutcome::Unknown || kept));
 }
 
 // The whole control group is restarted at once: what was acknowledged is there again, and a replica that doesn't lead
@@ -146,7 +146,7 @@
     const std::string other = group.leader == "a" ? "b" : "a";
     int answers = 0;
     const auto isNotLeader = [&](const process::ProposeResult &result) {
-        answers += result.kind == process::ProposeEnd::NotLeader ? 1 : 0;
+        answers += result.kind == process::ProposeOutcome::NotLeader ? 1 : 0;
     };
     group.nodes.at(other)->propose("three", isNotLeader);
     group.nodes.at(other)->changeMembership({}, isNotLeader);
--- a/tests/RequestStepTest.cpp
+++ b/tests/RequestStepTest.cpp
@@ -90,7 +90,7 @@
         break;
     case ActionKind::Record:
         world.records++;
-        world.released = action.outcome == ClaimEnd::Released;
+        world.released = action.claimResolution == ClaimResolution::Released;
         check(world, !world.released || !world.mayHaveRun, "a claim is given back only if nothing ran");
         break;
     default:
@@ -113,7 +113,7 @@
 void act(World &world, const RequestEvent &event, const std::string &name)
 {
     world.story += " " + name;
-    if (event.kind == EventKind::CallerGone) {
+    if (event.kind == EventKind::CallerDisconnected) {
         world.callerGone = true;
     }
     if (event.kind == EventKind::ClaimAnswered && event.claim == ClaimAnswer::Granted) {
@@ -141,16 +141,17 @@
     for (const auto &entry : world.handedOn) {
         const unsigned attempt = entry.first;
         const std::string id = std::to_string(attempt);
-        const auto add = [&](AttemptEnd end, bool ran) {
-            events.push_back({{.kind = EventKind::AttemptEnded, .attempt = attempt, .end = end, .mayHaveRun = ran},
-                              std::string(toText(end)) + (ran ? "!" : "") + id});
+        const auto add = [&](AttemptOutcome outcome, bool ran) {
+            events.push_back(
+                {{.kind = EventKind::AttemptEnded, .attempt = attempt, .outcome = outcome, .mayHaveRun = ran},
+                 std::string(toText(outcome)) + (ran ? "!" : "") + id});
         };
-        add(AttemptEnd::Answered, true);
-        add(AttemptEnd::NotOwner, false);
-        add(AttemptEnd::NoRoom, false);
-        add(AttemptEnd::NotSent, false);
-        add(AttemptEnd::Crashed, true);
-        add(AttemptEnd::ShortAnswer, true);
+        add(AttemptOutcome::Answered, true);
+        add(AttemptOutcome::NotOwner, false);
+        add(AttemptOutcome::Overloaded, false);
+        add(AttemptOutcome::NotSent, false);
+        add(AttemptOutcome::Crashed, true);
+        add(AttemptOutcome::TruncatedAnswer, true);
     }
 }
 
@@ -158,7 +159,7 @@
 std::vector<NamedEvent> possible(const World &world)
 {
     std::vector<NamedEvent> events{{{.kind = EventKind::DeadlinePassed}, "deadline"},
-                                   {{.kind = EventKind::CallerGone}, "gone"}};
+                                   {{.kind = EventKind::CallerDisconnected}, "gone"}};
     if (world.state.stage == Stage::Claiming) {
         for (const auto claim : {ClaimAnswer::Granted,
                                  ClaimAnswer::InProgress,
@@ -184,7 +185,8 @@
         if (attempt.stage == AttemptStage::Queued) {
             events.push_back({{.kind = EventKind::Admitted, .attempt = attempt.id}, "admitted"});
             events.push_back(
-                {{.kind = EventKind::AttemptEnded, .attempt = attempt.id, .end = AttemptEnd::NoRoom}, "shed"});
+                {{.kind = EventKind::AttemptEnded, .attempt = attempt.id, .outcome = AttemptOutcome::Overloaded},
+                 "shed"});
         }
     }
     if (!world.handedOn.empty() && !world.state.hedged) {
@@ -200,7 +202,7 @@
     if (depth == 0 || world.hasEnded()) {
         World late = world;
         act(late, {.kind = EventKind::ClaimAnswered, .claim = ClaimAnswer::Unavailable}, "late-claim");
-        act(late, {.kind = EventKind::AttemptEnded, .attempt = 1, .end = AttemptEnd::Answered}, "late-answer");
+        act(late, {.kind = EventKind::AttemptEnded, .attempt = 1, .outcome = AttemptOutcome::Answered}, "late-answer");
         return 1;
     }
     unsigned orders = 0;
@@ -232,9 +234,9 @@
     return world;
 }
 
-RequestEvent endOf(unsigned attempt, AttemptEnd end, bool ran)
+RequestEvent endOf(unsigned attempt, AttemptOutcome outcome, bool ran)
 {
-    return {.kind = EventKind::AttemptEnded, .attempt = attempt, .end = end, .mayHaveRun = ran};
+    return {.kind = EventKind::AttemptEnded, .attempt = attempt, .outcome = outcome, .mayHaveRun = ran};
 }
 
 } // namespace
@@ -257,7 +259,7 @@
 TEST_CASE("a claim granted to a request that has ended is given back")
 {
     World world = accepted("POST", true, true);
-    act(world, {.kind = EventKind::CallerGone}, "gone");
+    act(world, {.kind = EventKind::CallerDisconnected}, "gone");
     act(world, {.kind = EventKind::ClaimAnswered, .claim = ClaimAnswer::Granted}, "granted");
     REQUIRE(world.records == 1);
     REQUIRE(world.released);
@@ -269,13 +271,13 @@
     World world = accepted("POST", true, false);
     act(world, {.kind = EventKind::Routed, .upstream = Far}, "far");
     for (unsigned attempt = 1; attempt <= 20; attempt++) {
-        act(world, endOf(attempt, AttemptEnd::NotOwner, false), "not-owner");
+        act(world, endOf(attempt, AttemptOutcome::NotOwner, false), "not-owner");
         REQUIRE(world.state.stage == Stage::Waiting);
         world.now += 25ms;
         act(world, {.kind = EventKind::Woken}, "woken");
         act(world, {.kind = EventKind::Routed, .upstream = Far}, "far");
     }
-    act(world, endOf(21, AttemptEnd::Answered, true), "answered");
+    act(world, endOf(21, AttemptOutcome::Answered, true), "answered");
     REQUIRE(world.answers == 1);
     REQUIRE(world.state.ran == Ran::Yes);
 }
@@ -287,7 +289,7 @@
     World world = accepted("POST", true, false);
     for (unsigned attempt = 1; attempt <= 20; attempt++) {
         act(world, {.kind = EventKind::Routed, .upstream = Far}, "far");
-        act(world, endOf(attempt, AttemptEnd::NotSent, false), "not-sent");
+        act(world, endOf(attempt, AttemptOutcome::NotSent, false), "not-sent");
         REQUIRE(world.state.stage == Stage::Waiting);
         world.now += 25ms;
         act(world, {.kind = EventKind::Woken}, "woken");
@@ -301,28 +303,29 @@
  */
 TEST_CASE("a request waits for half of its target for a key on the move, and no longer")
 {
-    const auto refusedAfter = [](AttemptEnd end) {
+    const auto refusedAfter = [](AttemptOutcome outcome) {
         World world = fresh("GET", true, false, false);
-        world.state.facts.urgency = urgencyOf({.targetLatency = 500ms, .timeout = 1200ms, .priority = 1}, Start);
+        world.state.facts.queuePriority =
+            queuePriorityOf({.targetLatency = 500ms, .timeout = 1200ms, .priority = 1}, Start);
         act(world, {.kind = EventKind::Accepted}, "accepted");
         for (unsigned attempt = 1; !world.hasEnded(); ++attempt) {
             act(world, {.kind = EventKind::Routed, .upstream = Far}, "far");
-            act(world, endOf(attempt, end, false), "ended");
+            act(world, endOf(attempt, outcome, false), "ended");
             world.now += 10ms;
             act(world, {.kind = EventKind::Woken}, "woken");
         }
         return world.now - Start;
     };
-    CHECK(refusedAfter(AttemptEnd::NotOwner) > 200ms);
-    CHECK(refusedAfter(AttemptEnd::NotOwner) <= 260ms);
-    CHECK(refusedAfter(AttemptEnd::NotSent) <= 130ms);
+    CHECK(refusedAfter(AttemptOutcome::NotOwner) > 200ms);
+    CHECK(refusedAfter(AttemptOutcome::NotOwner) <= 260ms);
+    CHECK(refusedAfter(AttemptOutcome::NotSent) <= 130ms);
 }
 
 TEST_CASE("a request of an unkeyed service asks another upstream at once when one has left")
 {
     World world = accepted("POST", false, false);
     act(world, {.kind = EventKind::Routed, .upstream = Far}, "far");
-    act(world, endOf(1, AttemptEnd::NotOwner, false), "not-owner");
+    act(world, endOf(1, AttemptOutcome::NotOwner, false), "not-owner");
     REQUIRE(world.state.stage == Stage::Running);
     REQUIRE(world.state.tried == std::vector<std::uint32_t>{Far});
 }
@@ -359,10 +362,10 @@
     act(world, {.kind = EventKind::Routed, .upstream = Far}, "far");
     act(world, {.kind = EventKind::HedgeDue}, "hedge");
     REQUIRE_FALSE(world.state.hedged);
-    act(world, endOf(1, AttemptEnd::Broken, true), "broken");
+    act(world, endOf(1, AttemptOutcome::ConnectionLost, true), "broken");
     REQUIRE_FALSE(world.hasEnded());
     act(world, {.kind = EventKind::Routed, .upstream = Near, .local = true}, "near");
-    act(world, endOf(2, AttemptEnd::NoRoom, false), "shed");
+    act(world, endOf(2, AttemptOutcome::Overloaded, false), "shed");
     REQUIRE(world.hasEnded());
     REQUIRE(world.state.ran == Ran::Unknown);
 }
@@ -376,12 +379,12 @@
     World world = accepted("GET", true, false);
     world.retries.tokens = 1;
     act(world, {.kind = EventKind::Routed, .upstream = Far}, "far");
-    act(world, endOf(1, AttemptEnd::Disowned, false), "disowned");
+    act(world, endOf(1, AttemptOutcome::KeyNotHeld, false), "disowned");
     REQUIRE(world.state.stage == Stage::Waiting);
     REQUIRE(world.retries.tokens == 0);
     act(world, {.kind = EventKind::Woken}, "woken");
     act(world, {.kind = EventKind::Routed, .upstream = Far}, "far");
-    act(world, endOf(2, AttemptEnd::Disowned, false), "disowned");
+    act(world, endOf(2, AttemptOutcome::KeyNotHeld, false), "disowned");
     REQUIRE(world.hasEnded());
     REQUIRE(world.state.ran == Ran::No);
 }
@@ -400,7 +403,7 @@
     constexpr std::size_t Window = 10;
     constexpr double Ratio = 0.1;
     constexpr double SavedUp = 3;
-    std::vector<RetryBudget> budgets(Agents, RetryBudget{.ratio = Ratio, .most = SavedUp, .tokens = SavedUp});
+    std::vector<RetryBudget> budgets(Agents, RetryBudget{.ratio = Ratio, .maxTokens = SavedUp, .tokens = SavedUp});
     std::vector<RetryBudget> hedges(Agents);
     pcg32 random{11};
     std::vector<std::size_t> repeats(Seconds);
@@ -415,7 +418,7 @@
         for (unsigned attempt = 1; !world.hasEnded(); ++attempt) {
             step(world.state, {.kind = EventKind::Routed, .upstream = Far}, world.now, here);
             repeats[number / PerSecond] += attempt > 1 ? 1 : 0;
-            step(world.state, endOf(attempt, AttemptEnd::Disowned, false), world.now, here);
+            step(world.state, endOf(attempt, AttemptOutcome::KeyNotHeld, false), world.now, here);
             world.now += 20ms;
             step(world.state, {.kind = EventKind::Woken}, world.now, here);
         }
@@ -435,7 +438,7 @@
     REQUIRE(world.state.hedged);
     act(world, {.kind = EventKind::Routed, .upstream = Near, .local = true}, "near");
     act(world, {.kind = EventKind::Admitted, .attempt = 2}, "admitted");
-    act(world, endOf(2, AttemptEnd::Answered, true), "answered");
+    act(world, endOf(2, AttemptOutcome::Answered, true), "answered");
     REQUIRE(world.answers == 1);
     REQUIRE(world.handedOn.empty());
     REQUIRE(world.mayHaveRun);
@@ -448,9 +451,9 @@
     World world = accepted("POST", true, true);
     act(world, {.kind = EventKind::ClaimAnswered, .claim = ClaimAnswer::Granted}, "granted");
     act(world, {.kind = EventKind::Routed, .upstream = Far}, "far");
-    act(world, {.kind = EventKind::CallerGone}, "gone");
+    act(world, {.kind = EventKind::CallerDisconnected}, "gone");
     REQUIRE(world.handedOn.size() == 1);
-    act(world, endOf(1, AttemptEnd::Answered, true), "answered");
+    act(world, endOf(1, AttemptOutcome::Answered, true), "answered");
     REQUIRE(world.records == 1);
     REQUIRE_FALSE(world.released);
 }
--- a/tests/RequestTextTest.cpp
+++ b/tests/RequestTextTest.cpp
@@ -39,7 +39,7 @@
 net::CallResult answerWith(int status, std::vector<net::Header> headers)
 {
     net::CallResult result;
-    result.end = net::CallEnd::Answered;
+    result.outcome = net::CallOutcome::Answered;
     result.mayHaveRun = true;
     result.answer = {status, std::move(headers), ""};
     return result;
@@ -90,7 +90,7 @@
     request.headers.push_back({"Connection", "close"});
     const auto parsed = std::get<ParsedRequest>(parseRequest(request, enrolmentTable(), Origin::Caller, Now));
     REQUIRE_FALSE(parsed.facts.forwarded);
-    REQUIRE(parsed.wantedUpstream == 0);
+    REQUIRE(parsed.requestedUpstream == 0);
     const std::vector<net::Header> forwarded = headersToForward(request);
     REQUIRE(forwarded == std::vector<net::Header>{{"Routing-Key", "class-7"}, {"Idempotency-Key", "i1"}});
     const net::HttpAnswer passed = answerForCaller(
@@ -141,18 +141,19 @@
 // A payment is told "it did not run" though it did, or is sent again: how a call ended was read too hopefully.
 TEST_CASE("how a request ended at an upstream is read without hope")
 {
-    REQUIRE(readOutcome(answerWith(503, {{"Request-Ran", "no"}})).end == agent::AttemptEnd::NoRoom);
-    REQUIRE(readOutcome(answerWith(409, {{"Request-Ran", "no"}})).end == agent::AttemptEnd::NotOwner);
-    REQUIRE(readOutcome(answerWith(503, {})).end == agent::AttemptEnd::Answered);
-    REQUIRE(readOutcome(answerWith(200, {{"Request-Ran", "no"}})).end == agent::AttemptEnd::Answered);
-    for (const auto end : {net::CallEnd::Broken, net::CallEnd::ShortAnswer, net::CallEnd::TooLarge}) {
+    REQUIRE(readAttemptResult(answerWith(503, {{"Request-Ran", "no"}})).outcome == agent::AttemptOutcome::Overloaded);
+    REQUIRE(readAttemptResult(answerWith(409, {{"Request-Ran", "no"}})).outcome == agent::AttemptOutcome::NotOwner);
+    REQUIRE(readAttemptResult(answerWith(503, {})).outcome == agent::AttemptOutcome::Answered);
+    REQUIRE(readAttemptResult(answerWith(200, {{"Request-Ran", "no"}})).outcome == agent::AttemptOutcome::Answered);
+    for (const auto outcome :
+         {net::CallOutcome::ConnectionLost, net::CallOutcome::TruncatedAnswer, net::CallOutcome::TooLarge}) {
         net::CallResult result;
-        result.end = end;
+        result.outcome = outcome;
         result.mayHaveRun = true;
-        REQUIRE(readOutcome(result).mayHaveRun);
-        REQUIRE(readOutcome(result).end != agent::AttemptEnd::Answered);
+        REQUIRE(readAttemptResult(result).mayHaveRun);
+        REQUIRE(readAttemptResult(result).outcome != agent::AttemptOutcome::Answered);
     }
     net::CallResult unsent;
-    unsent.end = net::CallEnd::NotSent;
-    REQUIRE_FALSE(readOutcome(unsent).mayHaveRun);
+    unsent.outcome = net::CallOutcome::NotSent;
+    REQUIRE_FALSE(readAttemptResult(unsent).mayHaveRun);
 }
--- a/tests/RequestTraceTest.cpp
+++ b/tests/RequestTraceTest.cpp
@@ -25,7 +25,7 @@
                                               {"ended", EventKind::AttemptEnded},
                                               {"hedge-due", EventKind::HedgeDue},
                                               {"deadline", EventKind::DeadlinePassed},
-                                              {"caller-gone", EventKind::CallerGone}};
+                                              {"caller-gone", EventKind::CallerDisconnected}};
 
 const std::map<std::string, ClaimAnswer> Claims{{"granted", ClaimAnswer::Granted},
                                                 {"in-progress", ClaimAnswer::InProgress},
@@ -37,9 +37,9 @@
     return ran == Ran::No ? "no" : ran == Ran::Yes ? "yes" : "unknown";
 }
 
-std::string recordText(ClaimEnd end)
+std::string recordText(ClaimResolution end)
 {
-    return end == ClaimEnd::Released ? "released" : end == ClaimEnd::Answered ? "answered" : "unknown";
+    return end == ClaimResolution::Released ? "released" : end == ClaimResolution::Answered ? "answered" : "unknown";
 }
 
 /** @return the action as traces state it, such as "forward 2" or "refuse 504 unknown" */
@@ -70,7 +70,7 @@
     case ActionKind::Refuse:
         return "refuse " + std::to_string(action.refusal.status) + " " + ranText(action.refusal.ran);
     case ActionKind::Record:
-        return "record " + recordText(action.outcome);
+        return "record " + recordText(action.claimResolution);
     }
     return "";
 }
@@ -83,7 +83,7 @@
     event.upstream = line.value("upstream", 0U);
     event.local = line.value("local", false);
     event.attempt = line.value("attempt", 0U);
-    event.end = attemptEndFromText(line.value("end", "answered")).value();
+    event.outcome = attemptOutcomeFromText(line.value("end", "answered")).value();
     event.mayHaveRun = line.value("may_have_run", false);
     return event;
 }
--- a/tests/ComeBackTest.cpp
+++ b/tests/RetryAfterTest.cpp
@@ -1,4 +1,4 @@
-#include "agent/ComeBack.h"
+#include "agent/RetryAfter.h"
 
 #include <catch2/catch.hpp>
 
@@ -16,8 +16,8 @@
     std::set<std::chrono::milliseconds> forRoom;
     std::set<std::chrono::milliseconds> forOwner;
     for (int draw = 0; draw < 1000; ++draw) {
-        forRoom.insert(comeBackAfter(AttemptEnd::NoRoom, random));
-        forOwner.insert(comeBackAfter(AttemptEnd::NotOwner, random));
+        forRoom.insert(chooseRetryAfter(AttemptOutcome::Overloaded, random));
+        forOwner.insert(chooseRetryAfter(AttemptOutcome::NotOwner, random));
     }
     // A third of two seconds is the longest that a caller with that deadline waits.
     CHECK(*forOwner.rbegin() < 667ms);
--- a/tests/RouteBookTest.cpp
+++ b/tests/RouteStoreTest.cpp
@@ -1,4 +1,4 @@
-#include "control/RouteBook.h"
+#include "control/RouteStore.h"
 #include "control/State.h"
 #include "table/KeyDigest.h"
 #include "table/RouteTable.h"
@@ -37,7 +37,7 @@
  */
 TEST_CASE("routes: an accepted change that is sent again is acknowledged again, also after others and a restart")
 {
-    control::RouteBook book;
+    control::RouteStore book;
     REQUIRE(book.put(change(1, 0, 5)).status() == wire::OPERATOR_STATUS_DONE);
     REQUIRE(book.put(change(2, 5, 6)).status() == wire::OPERATOR_STATUS_DONE);
     const wire::OperatorReply again = book.put(change(1, 0, 5));
@@ -46,7 +46,7 @@
     REQUIRE(book.routes().revision() == 6);
     wire::StateSnapshot saved;
     book.save(saved);
-    control::RouteBook restored;
+    control::RouteStore restored;
     restored.restore(saved);
     REQUIRE(restored.put(change(1, 0, 5)).status() == wire::OPERATOR_STATUS_DONE);
     REQUIRE(restored.routes().revision() == 6);
@@ -54,7 +54,7 @@
 
 TEST_CASE("routes: of two changes of one revision the first wins, and the loser never comes into force")
 {
-    control::RouteBook book;
+    control::RouteStore book;
     REQUIRE(book.put(change(1, 0, 5)).status() == wire::OPERATOR_STATUS_DONE);
     REQUIRE(book.put(change(2, 5, 9)).status() == wire::OPERATOR_STATUS_DONE);
     REQUIRE(book.put(change(3, 5, 9)).status() == wire::OPERATOR_STATUS_CONFLICT);
@@ -64,7 +64,7 @@
 
 TEST_CASE("routes: an invalid change and one that doesn't raise the revision are refused")
 {
-    control::RouteBook book;
+    control::RouteStore book;
     REQUIRE(book.put(change(1, 0, 5)).status() == wire::OPERATOR_STATUS_DONE);
     wire::PutRoutes noTimeout = change(2, 5, 6);
     noTimeout.mutable_table()->mutable_routes(0)->set_timeout_ms(0);
@@ -91,7 +91,7 @@
     REQUIRE(applied.visible);
     REQUIRE(applied.update.table().routes_change().table().revision() == 5);
     const control::SliceMap &slices = state.services().at("orders");
-    REQUIRE(slices.slices().size() == control::State::FirstSlices);
+    REQUIRE(slices.slices().size() == control::State::InitialSlices);
     for (const auto &[begin, holding] : slices.slices()) {
         REQUIRE(begin % (std::uint64_t{1} << 48U) == 0);
     }
@@ -129,7 +129,7 @@
     return made;
 }
 
-std::string holderOf(const control::RouteBook &book, const std::string &key)
+std::string holderOf(const control::RouteStore &book, const std::string &key)
 {
     const table::RouteTable routes(book.routes());
     const table::Workspace *workspace = routes.workspaceOf(key);
@@ -140,7 +140,7 @@
 
 TEST_CASE("workspaces: keys are added, moved, exchanged and removed by changes of named items")
 {
-    control::RouteBook book;
+    control::RouteStore book;
     wire::PutRoutes first = change(1, 0, 5);
     addWorkspace(first, "north", {"n1", "n2"});
     addWorkspace(first, "south", {"s1"});
@@ -161,12 +161,12 @@
     REQUIRE(book.put(removed).status() == wire::OPERATOR_STATUS_DONE);
     REQUIRE(holderOf(book, "s1").empty());
     REQUIRE(holderOf(book, "n1") == "south");
-    REQUIRE(table::RouteTable(book.routes()).callersNeedKeys());
+    REQUIRE(table::RouteTable(book.routes()).requiresCallerKeys());
 }
 
 TEST_CASE("workspaces: invalid ones are refused, also where a change of one item makes them so")
 {
-    control::RouteBook book;
+    control::RouteStore book;
     wire::PutRoutes first = change(1, 0, 5);
     addWorkspace(first, "north", {"n1"});
     REQUIRE(book.put(first).status() == wire::OPERATOR_STATUS_DONE);
@@ -186,7 +186,7 @@
     wire::PutRoutes withoutSecret = workspaceChange(5, 0, 6);
     addWorkspace(withoutSecret, "south", {"s1"});
     withoutSecret.mutable_table()->clear_digest_key();
-    control::RouteBook fresh;
+    control::RouteStore fresh;
     REQUIRE(fresh.put(withoutSecret).status() == wire::OPERATOR_STATUS_BAD_INPUT);
     REQUIRE(holderOf(book, "n1") == "north");
     REQUIRE(book.routes().revision() == 5);
@@ -217,31 +217,31 @@
     const table::RouteTable changed(known);
     const table::RouteTable whole(state.fullUpdate().table().routes());
     for (const table::RouteTable &routes : {changed, whole}) {
-        REQUIRE(routes.callersNeedKeys());
+        REQUIRE(routes.requiresCallerKeys());
         REQUIRE(routes.workspaceOf("key-north") == nullptr);
         REQUIRE(routes.workspaceOf("key-late")->name == "south");
     }
     wire::PutRoutes without = change(3, 6, 7);
     known = table::merged(known, putAt(3, without).table().routes_change());
-    REQUIRE_FALSE(table::RouteTable(known).callersNeedKeys());
+    REQUIRE_FALSE(table::RouteTable(known).requiresCallerKeys());
     REQUIRE(known.workspaces().empty());
 }
 
 TEST_CASE("workspaces: a snapshot keeps them, and one from before there were any is read as without")
 {
-    control::RouteBook book;
+    control::RouteStore book;
     REQUIRE(book.put(change(1, 0, 5)).status() == wire::OPERATOR_STATUS_DONE);
     wire::StateSnapshot before;
     book.save(before);
-    control::RouteBook upgraded;
+    control::RouteStore upgraded;
     upgraded.restore(before);
-    REQUIRE_FALSE(table::RouteTable(upgraded.routes()).callersNeedKeys());
+    REQUIRE_FALSE(table::RouteTable(upgraded.routes()).requiresCallerKeys());
     wire::PutRoutes first = workspaceChange(2, 5, 6);
     addWorkspace(first, "north", {"n1"});
     REQUIRE(upgraded.put(first).status() == wire::OPERATOR_STATUS_DONE);
     wire::StateSnapshot saved;
     upgraded.save(saved);
-    control::RouteBook restored;
+    control::RouteStore restored;
     restored.restore(saved);
     REQUIRE(holderOf(restored, "n1") == "north");
     REQUIRE(restored.routes().workspaces(0).keys_size() == 0);
--- a/tests/RouteTableTest.cpp
+++ b/tests/RouteTableTest.cpp
@@ -71,14 +71,14 @@
 TEST_CASE("routes: all that is wrong with a table is found at once, with its place")
 {
     wire::RouteTable table = shop();
-    REQUIRE(table::findingsIn(table).empty());
+    REQUIRE(table::validateRoutes(table).empty());
     addRoute(table, "/c/", "nobody");
     addRoute(table, "/d/", "orders").mutable_parts(0)->set_weight(0);
     addRoute(table, "/e/", "orders").set_timeout_ms(0);
     addRoute(table, "/f/", "orders").set_attempts(0);
     addRoute(table, "/g", "orders");
     addRoute(table, "/a/", "orders");
-    const Findings findings = table::findingsIn(table);
+    const Findings findings = table::validateRoutes(table);
     REQUIRE(findings.size() == 6);
     REQUIRE(findings.front().place == "route /c/");
 }
--- a/tests/RouterTest.cpp
+++ b/tests/RouterTest.cpp
@@ -30,8 +30,8 @@
 {
     for (unsigned round = 0; round < rounds; round++) {
         for (std::uint32_t upstream = 1; upstream <= 4; upstream++) {
-            noteSent(routing, upstream, Start);
-            noteAnswered(routing, upstream, upstream == 1 ? slow : 5ms, 0, now);
+            recordSent(routing, upstream, Start);
+            recordAnswered(routing, upstream, upstream == 1 ? slow : 5ms, 0, now);
         }
     }
 }
@@ -57,13 +57,13 @@
     REQUIRE(draw(routing, fourAlike(), 1000, Start).count(1) == 0);
     const BootTime back = Start + 300ms;
     REQUIRE(draw(routing, fourAlike(), 1000, back).at(1) > 0);
-    noteSent(routing, 1, Start);
+    recordSent(routing, 1, Start);
     REQUIRE(draw(routing, fourAlike(), 1000, back).count(1) == 0);
-    noteAnswered(routing, 1, 50ms, 0, back);
+    recordAnswered(routing, 1, 50ms, 0, back);
     REQUIRE(isEjected(routing, 1, back + 300ms));
     for (unsigned probe = 0; probe < 3; probe++) {
-        noteSent(routing, 1, Start);
-        noteAnswered(routing, 1, 5ms, 0, back + 500ms);
+        recordSent(routing, 1, Start);
+        recordAnswered(routing, 1, 5ms, 0, back + 500ms);
     }
     REQUIRE(routing.health.at(1).probesLeft == 0);
     REQUIRE(routing.health.at(1).ejections == 0);
@@ -75,13 +75,13 @@
     for (const double load : {0.9, 0.1}) {
         ServiceRouting routing;
         for (std::uint32_t upstream = 1; upstream <= 4; upstream++) {
-            noteSent(routing, upstream, Start);
-            noteAnswered(routing, upstream, 5ms, load, Start);
+            recordSent(routing, upstream, Start);
+            recordAnswered(routing, upstream, 5ms, load, Start);
         }
         for (std::uint32_t upstream = 1; upstream <= 4; upstream++) {
             for (unsigned failure = 0; failure < 5; failure++) {
-                noteSent(routing, upstream, Start);
-                noteFailed(routing, upstream, 1ms, Start);
+                recordSent(routing, upstream, Start);
+                recordFailed(routing, upstream, 1ms, Start);
             }
         }
         unsigned out = 0;
@@ -98,10 +98,10 @@
 {
     ServiceRouting routing;
     answerAll(routing, 5, 5ms, Start);
-    noteSent(routing, 1, Start);
+    recordSent(routing, 1, Start);
     REQUIRE(draw(routing, fourAlike(), 1000, Start + 10ms).count(1) == 1);
     REQUIRE(draw(routing, fourAlike(), 1000, Start + 20ms).count(1) == 0);
-    noteAnswered(routing, 1, 20ms, 0, Start + 20ms);
+    recordAnswered(routing, 1, 20ms, 0, Start + 20ms);
     REQUIRE(draw(routing, fourAlike(), 1000, Start + 20ms).count(1) == 1);
 }
 
@@ -110,8 +110,8 @@
     ServiceRouting routing;
     answerAll(routing, 5, 5ms, Start);
     for (unsigned shed = 0; shed < 5; shed++) {
-        noteSent(routing, 1, Start);
-        noteShed(routing, 1, Start);
+        recordSent(routing, 1, Start);
+        recordShed(routing, 1, Start);
     }
     REQUIRE_FALSE(isEjected(routing, 1, Start));
     const auto counts = draw(routing, fourAlike(), 1000, Start);
@@ -125,8 +125,8 @@
     const std::vector<Candidate> candidates{{1, 1, true}, {2, 1, false}};
     REQUIRE(draw(routing, candidates, 1000, Start).at(1) > 700);
     for (std::uint32_t upstream = 1; upstream <= 2; upstream++) {
-        noteSent(routing, upstream, Start);
-        noteAnswered(routing, upstream, 5ms, 0.9, Start);
+        recordSent(routing, upstream, Start);
+        recordAnswered(routing, upstream, 5ms, 0.9, Start);
     }
     REQUIRE(draw(routing, candidates, 1000, Start).at(1) < 600);
 }
@@ -143,15 +143,15 @@
 TEST_CASE("an upstream of the own failure domain is taken while it has room, the others once it has none")
 {
     ServiceRouting routing;
-    routing.localUntilLoad = 0.75;
+    routing.maxLocalLoad = 0.75;
     pcg32 random(5);
     const std::vector<Candidate> candidates{{1, 1, true}, {2, 1, false}, {3, 1, false}};
     std::map<std::uint32_t, unsigned> counts;
     const auto choices = [&](double load) {
         counts.clear();
         for (unsigned number = 0; number < 300; ++number) {
-            noteSent(routing, 1, Start);
-            noteAnswered(routing, 1, 10ms, load, Start);
+            recordSent(routing, 1, Start);
+            recordAnswered(routing, 1, 10ms, load, Start);
             ++counts[choose(routing, candidates, {}, random, Start)];
         }
     };
--- a/tests/SliceSplitsTest.cpp
+++ b/tests/SliceSplitsTest.cpp
@@ -1,6 +1,6 @@
 #include "control/SliceSplits.h"
 #include "control/Assignment.h"
-#include "control/LoadBook.h"
+#include "control/LoadTracker.h"
 #include "control/SliceMap.h"
 
 #include <catch2/catch.hpp>
@@ -18,7 +18,7 @@
 /** Four slices, all of owner 7. */
 SliceMap owned()
 {
-    SliceMap map = SliceMap::even(4);
+    SliceMap map = SliceMap::uniform(4);
     const SliceMap::Slices slices = map.slices();
     for (const auto &[begin, holding] : slices) {
         wire::SliceOwner owner;
@@ -103,20 +103,20 @@
 TEST_CASE("loads count once enough was measured, and hot keys are forgotten when nobody reports them")
 {
     const SliceMap map = owned();
-    LoadBook loads;
+    LoadTracker loads;
     BootTime now{1000s};
     std::vector<LoadedSlice> slices;
     for (const auto &[begin, holding] : map.slices()) {
         slices.push_back({begin, holding.owner, 0, false});
     }
     loads.report(report(0, 10, 5), now);
-    loads.weigh("catalogue", map, slices);
+    loads.distributeLoad("catalogue", map, slices);
     REQUIRE(slices[0].load == Approx(0.25));
     REQUIRE(loads.hotKeys("catalogue", 0.1, now).empty());
     for (int beat = 0; beat < 100; ++beat) {
         loads.report(report(0, 10000, 4000), now);
     }
-    loads.weigh("catalogue", map, slices);
+    loads.distributeLoad("catalogue", map, slices);
     REQUIRE(slices[0].load > 0.6);
     REQUIRE(slices[1].load == Approx(0.05));
     REQUIRE(loads.hotKeys("catalogue", 0.1, now) == std::vector<std::uint64_t>{Hot});
@@ -130,7 +130,7 @@
 TEST_CASE("loads: a range that turns busy weighs most of what it carries within three reports")
 {
     const SliceMap map = owned();
-    LoadBook loads;
+    LoadTracker loads;
     std::vector<LoadedSlice> slices;
     for (const auto &[begin, holding] : map.slices()) {
         slices.push_back({begin, holding.owner, 0, false});
@@ -151,7 +151,7 @@
     for (int beat = 0; beat < 3; ++beat) {
         tell(200, 20);
     }
-    loads.weigh("catalogue", map, slices);
+    loads.distributeLoad("catalogue", map, slices);
     REQUIRE(slices.size() == 4);
     // Its own are 200 of 260: 0.77, most of it seen by then. With a tenth of each report and half by width: 0.40.
     REQUIRE(slices.front().load > 0.55);
@@ -160,7 +160,7 @@
 TEST_CASE("splits: slices of numbered keys are cut at whole keys, down to single ones and no further")
 {
     constexpr std::uint64_t Grain = std::uint64_t{1} << 48U;
-    SliceMap map = SliceMap::even(64, Grain);
+    SliceMap map = SliceMap::uniform(64, Grain);
     for (int round = 0; round < 3; ++round) {
         carryOut(map, planSplits(map, 512, {}, {}, Grain));
     }
--- a/tests/UpdateBatchTest.cpp
+++ b/tests/UpdateBatchTest.cpp
@@ -107,7 +107,7 @@
         version.set_index(index);
         coordinator.applied(state.apply(version, command));
     }
-    now += control::UpdateBatch::Gap;
+    now += control::UpdateBatch::MinInterval;
     coordinator.tick(now);
     std::size_t upstreams = 0;
     for (const control::Action &action : coordinator.takeActions()) {
--- a/tools/load/Generator.cpp
+++ b/tools/load/Generator.cpp
@@ -28,17 +28,17 @@
 
 Verdict verdictOf(const net::CallResult &result, const std::string &testId, bool withIdempotencyKey)
 {
-    switch (result.end) {
-    case net::CallEnd::NotSent:
+    switch (result.outcome) {
+    case net::CallOutcome::NotSent:
         return Verdict::NotSent;
-    case net::CallEnd::TimedOut:
+    case net::CallOutcome::TimedOut:
         return Verdict::TimedOut;
-    case net::CallEnd::Answered:
+    case net::CallOutcome::Answered:
         break;
-    case net::CallEnd::Broken:
-    case net::CallEnd::ShortAnswer:
-    case net::CallEnd::TooLarge:
-    case net::CallEnd::Cancelled:
+    case net::CallOutcome::ConnectionLost:
+    case net::CallOutcome::TruncatedAnswer:
+    case net::CallOutcome::TooLarge:
+    case net::CallOutcome::Cancelled:
         return Verdict::Broken;
     }
     if (result.answer.status >= FirstRedirect) {
@@ -94,9 +94,9 @@
     }
 }
 
-std::string Generator::testId(const Outcome &outcome) const
+std::string Generator::testId(const Outcome &record) const
 {
-    return this->prefix + std::to_string(outcome.number);
+    return this->prefix + std::to_string(record.number);
 }
 
 void Generator::armTimer()
@@ -122,65 +122,65 @@
 
 void Generator::sendOne(BootTime intended)
 {
-    Outcome &outcome = this->outcomes.emplace_back();
-    outcome.number = this->outcomes.size();
-    outcome.intended = intended;
+    Outcome &record = this->outcomes.emplace_back();
+    record.number = this->outcomes.size();
+    record.intended = intended;
     const bool onlyOne = this->settings.keyedService.empty() || this->settings.unkeyedService.empty();
     const bool keyed = onlyOne ? !this->settings.keyedService.empty() : this->uniform() < this->settings.keyedShare;
     if (keyed) {
         const bool post = this->uniform() < this->settings.postShare;
-        outcome.kind = post ? Kind::KeyedPost : Kind::KeyedGet;
-        outcome.key = static_cast<unsigned>(this->random(this->settings.keys));
-        outcome.withIdempotencyKey = post && this->uniform() < this->settings.idempotencyShare;
-        outcome.resent = outcome.withIdempotencyKey && this->uniform() < this->settings.resendShare;
+        record.kind = post ? Kind::KeyedPost : Kind::KeyedGet;
+        record.key = static_cast<unsigned>(this->random(this->settings.keys));
+        record.withIdempotencyKey = post && this->uniform() < this->settings.idempotencyShare;
+        record.resent = record.withIdempotencyKey && this->uniform() < this->settings.resendShare;
     }
     ++this->inProgress;
     // A deque does not move its elements when it grows.
-    this->client.send(this->callFor(outcome), [this, &outcome](const net::CallResult &result) {
-        outcome.ended = BootClock::now();
-        outcome.status = result.answer.status;
-        outcome.verdict = verdictOf(result, this->testId(outcome), outcome.withIdempotencyKey);
+    this->client.send(this->callFor(record), [this, &record](const net::CallResult &result) {
+        record.ended = BootClock::now();
+        record.status = result.answer.status;
+        record.verdict = verdictOf(result, this->testId(record), record.withIdempotencyKey);
         --this->inProgress;
         if (this->settings.concurrency != 0 && !this->over) {
             this->sendOne(BootClock::now());
         }
         this->checkEnd();
     });
-    if (outcome.resent) {
-        this->sendAgain(outcome);
+    if (record.resent) {
+        this->sendAgain(record);
     }
 }
 
-void Generator::sendAgain(Outcome &outcome)
+void Generator::sendAgain(Outcome &record)
 {
     ++this->inProgress;
-    this->loop.after(ResendDelay, [this, &outcome] {
-        this->client.send(this->callFor(outcome), [this, &outcome](const net::CallResult &result) {
-            outcome.second = verdictOf(result, this->testId(outcome), outcome.withIdempotencyKey);
+    this->loop.after(ResendDelay, [this, &record] {
+        this->client.send(this->callFor(record), [this, &record](const net::CallResult &result) {
+            record.second = verdictOf(result, this->testId(record), record.withIdempotencyKey);
             --this->inProgress;
             this->checkEnd();
         });
     });
 }
 
-net::HttpCall Generator::callFor(const Outcome &outcome)
+net::HttpCall Generator::callFor(const Outcome &record)
 {
-    const std::string id = this->testId(outcome);
-    const bool keyed = outcome.kind != Kind::UnkeyedGet;
+    const std::string id = this->testId(record);
+    const bool keyed = record.kind != Kind::UnkeyedGet;
     net::HttpCall call;
     call.address = this->settings.targets[this->random(static_cast<std::uint32_t>(this->settings.targets.size()))];
     call.target = "/s/" + (keyed ? this->settings.keyedService : this->settings.unkeyedService) + "/item";
     call.headers = {{"Test-Id", id}, {"Request-Timeout", std::to_string(this->settings.timeout.count())}};
     call.timeout = this->settings.timeout + TimeoutMargin;
     if (keyed) {
-        call.headers.push_back({"Routing-Key", "key-" + std::to_string(outcome.key)});
+        call.headers.push_back({"Routing-Key", "key-" + std::to_string(record.key)});
     }
-    if (outcome.kind == Kind::KeyedPost) {
+    if (record.kind == Kind::KeyedPost) {
         call.method = "POST";
         call.headers.push_back({"Content-Type", "application/json"});
         call.body = "{\"test_id\":\"" + id + "\"}";
     }
-    if (outcome.withIdempotencyKey) {
+    if (record.withIdempotencyKey) {
         call.headers.push_back({"Idempotency-Key", id});
     }
     return call;
--- a/tools/load/Generator.h
+++ b/tools/load/Generator.h
@@ -29,7 +29,7 @@
     void start();
 
     /** @return the id that the request carries in Test-Id */
-    std::string testId(const Outcome &outcome) const;
+    std::string testId(const Outcome &record) const;
 
     /** Requests in the order of their intended times. */
     std::deque<Outcome> outcomes;
@@ -39,8 +39,8 @@
     void onTimer();
     void armTimer();
     void sendOne(BootTime intended);
-    void sendAgain(Outcome &outcome);
-    net::HttpCall callFor(const Outcome &outcome);
+    void sendAgain(Outcome &record);
+    net::HttpCall callFor(const Outcome &record);
     void checkEnd();
     double uniform();
 
--- a/tools/sessions/Main.cpp
+++ b/tools/sessions/Main.cpp
@@ -59,10 +59,10 @@
         events.closed = [this](rpc::SessionId) {
             agent::endSession(this->lease);
         };
-        rpc::ControlSessionPatience patience;
+        rpc::ControlSessionTimeouts timeouts;
         // One process for hundreds of sessions is slower than an agent: silence here says nothing of the leader.
-        patience.silence = std::chrono::seconds(5);
-        this->session = std::make_unique<rpc::ControlSession>(loop, settings.controls, std::move(events), patience);
+        timeouts.silenceTimeout = std::chrono::seconds(5);
+        this->session = std::make_unique<rpc::ControlSession>(loop, settings.controls, std::move(events), timeouts);
     }
 
     void renew()
@@ -72,7 +72,7 @@
         }
         wire::AgentMessage message;
         this->sentAt = BootClock::now();
-        this->sequence = agent::noteRenewal(this->lease, this->sentAt);
+        this->sequence = agent::recordRenewal(this->lease, this->sentAt);
         message.mutable_renew()->set_sequence(this->sequence);
         *message.mutable_renew()->mutable_in_force() = this->map.version;
         this->session->send(message);
@@ -80,7 +80,7 @@
 
     bool holdsLease() const
     {
-        return agent::holds(this->lease, BootClock::now());
+        return agent::isValidAt(this->lease, BootClock::now());
     }
 
     std::size_t mapBytes() const
@@ -145,7 +145,7 @@
             this->counts.updateBytes += message.update().ByteSizeLong();
             agent::apply(this->map, message.update());
             if (message.update().full()) {
-                agent::fullStateApplied(this->lease, id);
+                agent::recordFullState(this->lease, id);
             }
         } else if (message.has_revoke()) {
             wire::AgentMessage released;
--- a/tools/upstream/Main.cpp
+++ b/tools/upstream/Main.cpp
@@ -60,7 +60,7 @@
             if (this->stopped) {
                 return;
             }
-            const bool heard = result.end == net::CallEnd::Answered;
+            const bool heard = result.outcome == net::CallOutcome::Answered;
             this->timer = this->loop.after(heard ? AnnounceInterval : AnnounceRetry, [this] {
                 this->announce();
             });
