--- a/include/agent/AttemptOutcome.h
+++ b/include/agent/AttemptOutcome.h
@@ -5,20 +5,20 @@
 
 namespace bergamotweir::agent {
 
-/** How one try to have a request answered by an upstream ended. */
+/** How one attempt to get a request answered by an upstream ended. */
 enum class AttemptOutcome {
-    /** A whole answer of the upstream's, of any status. */
+    /** The upstream sent a complete answer, of any status. */
     Answered,
-    /** The agent that was asked doesn't own the key, has no lease, or is moving it. */
+    /** The receiving agent doesn't own the key, has no lease, or is moving the key away. */
     NotOwner,
-    /** The upstream refused it: it doesn't hold the key, or is another one than was asked for. */
+    /** The upstream refused the request: it doesn't hold the key, or is a different upstream from the one requested. */
     KeyNotHeld,
     /** Shed by the gate or by the upstream. */
     Overloaded,
-    /** Shed by the gate at the limit that the table sets. */
+    /** Shed by the gate at the limit set in the table. */
     OverLimit,
     Quarantined,
-    /** No connection; no byte was sent. */
+    /** No connection could be made; no byte was sent. */
     NotSent,
     /** The connection broke. */
     ConnectionLost,
@@ -32,7 +32,7 @@
 /** @return the name used between agents, such as "not-owner" */
 std::string_view toText(AttemptOutcome outcome);
 
-/** @return the end of that name, or nothing for another text */
+/** @return the outcome with that name, or std::nullopt for an unknown name */
 std::optional<AttemptOutcome> attemptOutcomeFromText(std::string_view text);
 
 } // namespace bergamotweir::agent
--- a/include/agent/BodyQueue.h
+++ b/include/agent/BodyQueue.h
@@ -11,71 +11,75 @@
 
 namespace bergamotweir::agent {
 
-/** Names a body at a queue; the queue's owner chooses it. */
+/** Identifies a body in a queue; chosen by the queue's owner. */
 using BodyId = std::uint64_t;
 
-/** A large request body that its sender has announced and not sent. */
+/** A large request body that its sender has announced and not yet sent. */
 struct AnnouncedBody {
     BodyId id = 0;
     std::size_t bytes = 0;
-    /** Received whole later, it is of no use: the work on it would end too late. */
+    /** A body received completely after this point is useless, as the work on it would end too late. */
     BootTime receiveDeadline = BootTime::max();
 };
 
-/** A body on the link. */
+/** A body that is being received. */
 struct ReceivedBody {
     std::size_t bytes = 0;
     BootTime begunAt;
 };
 
-/** Decisions on the bodies that waited. */
+/** Decisions on waiting bodies. */
 struct BodyDecisions {
     std::vector<BodyId> admitted;
-    /** They can't be received in time; surely not run. */
+    /** Can't be received in time; their requests have definitely not run. */
     std::vector<BodyId> refused;
 };
 
 /**
- * Which large bodies may cross the link to this VM, and in which order.
+ * Admission control for large request bodies on the link to this VM.
  *
- * The load that it answers: more bytes of request bodies come than the link can carry. Sent at will, all bodies are
- * late, and everything else that comes over the link waits behind them: calls of running work, heartbeats, changes of
- * the table. With a few bodies on the link at a time it carries as much and its queue stays short; a body that would be
- * late is refused before its first byte is sent.
- * Owned by the agent process; the rate is learnt from the bodies themselves.
+ * Guards against more bytes of request bodies than the link can carry. Without a bound all bodies would be late, and
+ * all other traffic on the link would queue behind them: calls made by running requests, heartbeats and table changes.
+ * With a few bodies in transfer at a time the throughput of the link is the same and its queue stays short. A body that
+ * would be late is refused before its first byte is sent.
+ * Owned by the agent process. The rate of the link is measured from the transferred bodies.
  */
 struct BodyQueue {
-    /** Bodies on the link. */
+    /** Bodies being received. */
     std::map<BodyId, ReceivedBody> receiving;
-    /** In the order of their arrival. */
+    /** Announced bodies in order of arrival. */
     std::deque<AnnouncedBody> waiting;
-    /** Smoothed size of a body, and time between the ends of two while the link is busy; 0 when not known. */
+    /** Smoothed size of a body, and smoothed time between two completions while the link is busy; 0 when unknown. */
     double meanBytes = 0;
     std::chrono::nanoseconds meanInterval{0};
-    /** When the latest body ended, or the first one of a busy time began. */
+    /** When the latest body was complete, or when the first body of a busy period began. */
     BootTime lastEndAt;
 };
 
-/** Bodies on the link at a time: one alone leaves it idle for the round trip between two. */
+/** Bodies received at the same time. With only one, the link would be idle for a round trip between two bodies. */
 constexpr std::size_t MaxBodiesReceiving = 2;
 
-/** A body that takes longer has a sender that stalled, and doesn't count as being on the link. */
+/** A transfer that takes longer is treated as stalled and no longer counted as being received. */
 constexpr std::chrono::milliseconds MaxTransferTime{2000};
 
-/** A body is announced. @return Admitted: it may come now; Queued: finish() tells; Overloaded: it would be late */
+/**
+ * Decides about an announced body.
+ * @return Admitted: it may be sent now; Queued: a later call of finish() or processQueue() decides; Overloaded: it
+ * would be late
+ */
 Admission requestAdmission(BodyQueue &queue, const AnnouncedBody &body, BootTime now);
 
 /**
- * A body was received whole, or its sender is gone, while on the link or waiting.
- * @param whole whether it was received whole, which the rate is learnt from
- * @return what becomes of those that waited
+ * Removes a body that was received completely, or whose sender disconnected while it was being received or waiting.
+ * @param whole whether it was received completely; only then it is a sample of the link's rate
+ * @return decisions on the waiting bodies
  */
 BodyDecisions finish(BodyQueue &queue, BodyId id, bool whole, BootTime now);
 
-/** Looks again whether waiting bodies may come; to be called now and then while any waits. */
+/** Decides about waiting bodies again; must be called periodically while any body waits. */
 BodyDecisions processQueue(BodyQueue &queue, BootTime now);
 
-/** @return the time that the link needs for so many bytes; 0 when its rate isn't known */
+/** @return the time that the link needs for @p bytes; 0 when its rate isn't known */
 std::chrono::nanoseconds transferTime(const BodyQueue &queue, std::size_t bytes);
 
 } // namespace bergamotweir::agent
--- a/include/agent/CrashTracker.h
+++ b/include/agent/CrashTracker.h
@@ -13,7 +13,7 @@
 
 namespace bergamotweir::agent {
 
-/** What a crash may be blamed on. */
+/** The parts of a request that its fingerprint covers. */
 struct RequestContent {
     std::string_view service;
     std::string_view key;
@@ -22,14 +22,14 @@
     std::string_view body;
 };
 
-/** @return one number for all requests that are alike in service, key, method, target and body */
+/** @return a hash that is equal for requests with equal service, key, method, target and body */
 std::uint64_t fingerprint(const RequestContent &content);
 
-/** A bounded set of fingerprints that forgets the one not noted for longest. */
+/** A bounded set of fingerprints that evicts the least recently remembered one. */
 struct RecentFingerprints {
     std::size_t capacity = 4096;
     std::list<std::uint64_t> order;
-    std::unordered_map<std::uint64_t, std::list<std::uint64_t>::iterator> places;
+    std::unordered_map<std::uint64_t, std::list<std::uint64_t>::iterator> positions;
 };
 
 void remember(RecentFingerprints &recent, std::uint64_t value);
@@ -37,42 +37,43 @@
 bool contains(const RecentFingerprints &recent, std::uint64_t value);
 
 /**
- * Finds the request that crashes upstreams among those that were in progress beside it.
+ * Identifies the request that crashes upstreams among those that were in progress at the time.
  *
- * Guard against one request that takes down one upstream after another, since its caller sends it again. Every request
- * in progress at a first crash is suspected, but for those of a kind that was answered before: a crashing request never
- * is. Suspects then run one at a time at an upstream, so that a second crash has one suspect in progress; it alone is
- * blamed, and the innocents beside it aren't refused. One per agent.
+ * Guards against one request that crashes one upstream after another because its caller keeps sending it. Every request
+ * in progress at a first crash becomes a suspect, except those with a fingerprint that was answered before: a request
+ * that crashes its upstream is never answered. Suspects then run one at a time at an upstream, so that at a second
+ * crash only one suspect is in progress. Only that one is reported, and the other requests aren't refused. One per
+ * agent.
  */
 struct CrashTracker {
-    /** Requests at the upstream, per fingerprint. */
+    /** Number of requests at the upstream, per fingerprint. */
     std::map<std::uint64_t, unsigned> inProgress;
-    /** In progress at a crash here, or marked so by the agent that sent them. */
+    /** In progress at a crash here, or marked as suspects by the agent that sent them. */
     RecentFingerprints suspects;
-    /** Answered in whole by an upstream. */
+    /** Answered completely by an upstream. */
     RecentFingerprints answered;
 };
 
-/** A request was in progress when its upstream's connection broke, as the agent that sent it saw. */
+/** Marks a request that was in progress when its upstream's connection broke, as seen by the agent that sent it. */
 void markSuspect(CrashTracker &tracker, std::uint64_t value);
 
 bool isSuspect(const CrashTracker &tracker, std::uint64_t value);
 
-/** @return whether it may be dispatched now: not a suspect, or no suspect is in progress */
+/** @return whether the request may be dispatched now: it isn't a suspect, or no suspect is in progress */
 bool canRun(const CrashTracker &tracker, std::uint64_t value);
 
-/** A request is dispatched. */
+/** Records the dispatch of a request. */
 void recordBegin(CrashTracker &tracker, std::uint64_t value);
 
-/** It ended at the upstream. @param answered whether with a whole answer, which clears its kind */
+/** Records the end of a request. @param answered whether with a complete answer, which clears its fingerprint */
 void recordEnd(CrashTracker &tracker, std::uint64_t value, bool answered);
 
 /**
- * The upstream crashed.
- * @param broken the fingerprints of the requests whose connections broke with it, before recordEnd() is called for them
+ * Records a crash of the upstream.
+ * @param broken fingerprints of the requests whose connections broke in the crash; recordEnd() is called for them later
  * @param incarnation of the upstream that crashed
- * @param unixTime stated in the report
- * @return whom to report; empty when nobody is suspected
+ * @param unixTime time given in the report
+ * @return the suspects to report; empty when there are none
  */
 wire::ReportCrash recordCrash(CrashTracker &tracker,
                               const std::set<std::uint64_t> &broken,
--- a/include/agent/Gate.h
+++ b/include/agent/Gate.h
@@ -10,7 +10,7 @@
 
 namespace bergamotweir::agent {
 
-/** Names a request at a gate; the gate's owner chooses it. */
+/** Identifies a request at a gate; chosen by the gate's owner. */
 using TicketId = std::uint64_t;
 
 /** A request that waits at a gate. */
@@ -20,15 +20,15 @@
     QueuePriority queuePriority = {};
 };
 
-/** What becomes of a request that arrives at a gate. */
+/** Decision on a request that arrives at a gate. */
 enum class Admission {
     Admitted,
     Queued,
-    /** It can't be served in time; it surely did not run. */
+    /** The request can't be served in time; it has definitely not run. */
     Overloaded,
-    /** The same, at the limit of the table. */
+    /** As Overloaded, while the limit set in the table is reached. */
     OverLimit,
-    /** The upstream takes no work now; said by the gate's owner. */
+    /** The upstream accepts no requests at present; set by the gate's owner. */
     NotServing
 };
 
@@ -38,91 +38,92 @@
 /** How an admitted request left the upstream. */
 enum class WorkOutcome {
     Answered,
-    /** The upstream refused it as too much. */
+    /** The upstream refused the request because of its load. */
     Shed,
     TimedOut,
-    /** Connection lost, cancelled: nothing to be learnt about the latency. */
+    /** The connection was lost or the request cancelled; not a latency sample. */
     Lost
 };
 
-/** Requests that the gate let go of. */
+/** Decisions on waiting requests. */
 struct GateDecisions {
     std::vector<TicketId> admitted;
-    /** Too old to be served in time; surely not run. */
+    /** Can't be served in time any more; they have definitely not run. */
     std::vector<TicketId> shed;
 };
 
 /**
- * The only way to one upstream: how many requests are in progress, who waits, and when a new connection is due.
+ * Admission control for one upstream, which all requests to it pass: counts the requests in progress, queues requests,
+ * and spaces out new connections.
  *
- * Guard against overload that feeds itself. It shows when callers give up on queued requests and send them again while
- * the upstream still works on the old ones. The queue is short, a request that can't be served within its deadline is
- * shed at once, and what waited too long is never dispatched.
- * Owned by the agent process, one per upstream beside it.
+ * Guards against congestion collapse, where callers give up on queued requests and send them again while the upstream
+ * still works on the old ones. The queue is short, a request that can't be served within its deadline is shed at once,
+ * and a request that waited too long is never dispatched.
+ * Owned by the agent process, one per local upstream.
  */
 struct Gate {
     GateSettings settings;
     AdaptiveLimit limit;
     unsigned inProgress = 0;
-    /** In the order in which they are served. */
+    /** Waiting requests in the order in which they will be served. */
     std::deque<Ticket> queue;
-    /** Pushed out of a full queue by more urgent ones; processQueue() tells. */
+    /** Removed from a full queue in favour of requests with priority; processQueue() returns them as shed. */
     std::vector<TicketId> displaced;
     /** Open connections without a request. */
     unsigned idleConnections = 0;
     BootTime nextConnection;
-    /** The upstream is cold before this point, as it says itself. */
+    /** The upstream has announced that it is cold until this point. */
     BootTime coldUntil;
-    /** A cold upstream gets no further request before this point. */
+    /** No further request is dispatched to a cold upstream before this point. */
     BootTime nextColdDispatchAt;
-    /** Mean time that a request takes, smoothed; 0 when not known. */
+    /** Smoothed mean time that the upstream works on a request; 0 when not known. */
     std::chrono::nanoseconds serviceTime{0};
 };
 
-/** @return a cold gate */
+/** @return a gate whose limit starts at one request */
 Gate makeGate(const GateSettings &settings, BootTime now);
 
-/** Follows a changed table or announcement; requests in progress stay. */
+/** Applies a changed table or announcement; requests in progress are not affected. */
 void configure(Gate &gate, const GateSettings &settings);
 
-/** A new incarnation of the upstream: cold, without connections. */
+/** Resets the gate for a new incarnation of the upstream, which is cold and has no connections. */
 void restart(Gate &gate, BootTime now);
 
 /**
- * The upstream says how long it stays cold.
- * Guard against crashing a cold upstream. It shows when one that has just started gets the load of a warm one: its
- * requests take twice as long, and above a rate that it states it ends. Until then requests go out evenly spaced.
+ * Sets until when the upstream is cold, as announced by it.
+ * Guards against crashing an upstream that has just started by giving it the load of a warm one: its requests take
+ * twice as long, and it exits above a rate that it announces. Until @p until requests are dispatched evenly spaced.
  */
 void setCold(Gate &gate, BootTime until);
 
 /**
- * A request arrives. It is refused at once when it can't be served in its time, or when the queue is full of requests
- * that go before it; the last one of a full queue makes room for one that goes before it.
+ * Decides about an arriving request. It is refused at once when it can't be served in time, or when the queue is full
+ * of requests that have priority over it. A request with priority displaces the last one of a full queue.
  */
 Admission requestAdmission(Gate &gate, const Ticket &ticket, BootTime now);
 
-/** @return what requestAdmission() would say, without taking the request in */
+/** @return what requestAdmission() would return, without admitting or queueing the request */
 Admission previewAdmission(const Gate &gate, const Ticket &ticket, BootTime now);
 
-/** A waiting request is given up. @return false when it wasn't waiting */
+/** Removes a waiting request from the queue. @return false when it wasn't waiting */
 bool cancelQueued(Gate &gate, TicketId ticket);
 
-/** An admitted request has surely ended. @param latency since its dispatch */
+/** Records that an admitted request has definitely ended. @param latency since its dispatch */
 void finish(Gate &gate, WorkOutcome outcome, std::chrono::nanoseconds latency, BootTime now);
 
-/** Lets waiting requests through; to be called after finish() and at nextDispatchAt(). */
+/** Admits or sheds waiting requests; must be called after finish() and at nextDispatchAt(). */
 GateDecisions processQueue(Gate &gate, BootTime now);
 
-/** The upstream takes no work now. @return all who waited; surely not run */
+/** Empties the queue of an upstream that accepts no requests. @return all that waited; they have definitely not run */
 std::vector<TicketId> removeAllQueued(Gate &gate);
 
-/** @return when processQueue() may have something to do without a finish(); BootTime::max() when never */
+/** @return when processQueue() must be called next if finish() isn't called before; BootTime::max() when never */
 BootTime nextDispatchAt(const Gate &gate);
 
-/** @return the time that a request would wait with so many others ahead of it */
+/** @return the expected wait of a request with @p ahead requests queued before it */
 std::chrono::nanoseconds expectedWait(const Gate &gate, std::size_t ahead);
 
-/** @return requests in progress and waiting over those allowed; what answers carry as Upstream-Load */
+/** @return requests in progress and waiting, divided by the limit; sent with answers as Upstream-Load */
 double load(const Gate &gate);
 
 } // namespace bergamotweir::agent
--- a/include/agent/GateSettings.h
+++ b/include/agent/GateSettings.h
@@ -6,23 +6,24 @@
 
 namespace bergamotweir::agent {
 
-/** How a Gate behaves; made by GateSettingsBuilder. */
+/** Settings of a Gate; made by GateSettingsBuilder. */
 struct GateSettings {
-    /** Most requests in progress; what the table says, else the slots that the upstream announced. */
+    /** Maximum number of requests in progress: the table's limit, else the number of slots announced by the upstream.
+     */
     unsigned ceiling = 1;
-    /** Whether the ceiling is the table's limit, so that a refusal at it is 429 and not 503. */
+    /** Whether the ceiling is the table's limit; a refusal at it is then answered with 429 instead of 503. */
     bool ceilingIsTableLimit = false;
-    /** Most connections to the upstream. */
+    /** Maximum number of connections to the upstream. */
     unsigned connections = 128;
-    /** Least time between two new connections: four times what one costs the upstream. */
+    /** Minimum time between two new connections: four times the time that a new connection costs the upstream. */
     std::chrono::microseconds minConnectionInterval{4000};
-    /** Most requests that wait. */
+    /** Maximum number of waiting requests. */
     unsigned queueLength = 64;
-    /** Longest wait that is worth more than a refusal. */
+    /** A request whose expected wait is longer is refused. */
     std::chrono::milliseconds maxWait{250};
-    /** Requests a second that the upstream bears while it is cold; 0 where nothing is known. */
+    /** Maximum number of requests per second that the upstream supports while it is cold; 0 when unknown. */
     double maxColdRate = 0;
-    /** False keeps the limit at the ceiling: for upstreams whose slots are known, and as a baseline. */
+    /** False keeps the limit at the ceiling: for upstreams whose number of slots is known, and as a baseline. */
     bool adaptive = true;
 
     bool operator==(const GateSettings &other) const = default;
@@ -41,7 +42,7 @@
     GateSettingsBuilder &maxColdRate(double value);
     GateSettingsBuilder &adaptive(bool value);
 
-    /** @return the settings, or everything that is wrong with them */
+    /** @return the settings, or all errors found in them */
     Result<GateSettings> build() const;
 
 private:
--- a/include/agent/GrantOrders.h
+++ b/include/agent/GrantOrders.h
@@ -10,100 +10,101 @@
 
 namespace bergamotweir::agent {
 
-/** Names an order to an upstream, unique for one GrantOrders. */
+/** Identifies an order to an upstream; unique within one GrantOrders. */
 using OrderId = std::uint64_t;
 
 /** What an order asks of the upstream. */
 enum class OrderKind { Grant, Release };
 
-/** One order to an upstream that gets its keys by calls. */
+/** One order to an upstream that receives its grants by calls. */
 struct GrantOrder {
     OrderId id = 0;
     OrderKind kind = OrderKind::Grant;
     HeldRange range;
-    /** How long a grant holds, counted from its arrival at the upstream. */
+    /** Duration of a grant, counted from its arrival at the upstream. */
     std::chrono::milliseconds holdFor{0};
-    /** What the owner before gave out with the keys of a grant. */
+    /** Handover data that the previous owner released with the keys of a grant. */
     std::string handover;
     BootTime sentAt;
 };
 
-/** What became of an order. */
+/** How an order ended. */
 enum class OrderOutcome {
-    /** The upstream has carried it out. */
+    /** The upstream has executed the order. */
     Done,
     /** The upstream knows a higher epoch for one of the keys. */
     Outdated,
-    /** The upstream surely didn't take it: another process listens there, or none. */
+    /** The upstream has definitely not received the order: another process listens on its port, or none. */
     NotReceived,
-    /** No answer: it may have been carried out, or may be later. */
+    /** There was no answer: the order may have been executed, or may be executed later. */
     Unknown
 };
 
-/** Keys that the upstream is to hold. */
+/** Keys that the upstream should hold. */
 struct WantedKeys {
     HeldRange range;
     std::string handover;
 };
 
-/** What one upstream may hold by the grants that were sent to it. */
+/** A range that an upstream holds, or may hold, by the grants that were sent to it. */
 struct KeyHold {
     HeldRange range;
-    /** Grants that were answered run out here or later. */
+    /** The upstream holds the range at least until this point, by grants that it confirmed. */
     BootTime confirmedUntil;
-    /** All grants, answered or not, have run out here. */
+    /** All grants, answered or not, have expired at this point. */
     BootTime possiblyHeldUntil;
-    /** Grants without an answer have run out here: until then one of them may be carried out after a release. */
+    /** All unanswered grants have expired at this point; before it one of them may be executed after a release. */
     BootTime unansweredUntil;
-    /** Not ordered again before this point. */
+    /** No further order is sent before this point. */
     BootTime nextOrderAt;
-    /** A release was answered: what is left ends by its time, and asking again changes nothing. */
+    /** A release was answered: the remaining hold ends when it expires, and a further release would have no effect. */
     bool released = false;
 };
 
-/** Times of grants and releases. */
+/** Durations and time-outs of grants and releases. */
 struct GrantTimes {
-    /** Length of a grant. Short, so that one carried out seconds late has nothing left of its time. */
+    /** Duration of a grant. It is short, so that a grant executed seconds late has already expired. */
     std::chrono::milliseconds grantDuration{1800};
-    /** Shorter grants are not worth a call. */
+    /** Grants shorter than this are not sent. */
     std::chrono::milliseconds minGrantDuration{200};
-    /** A grant with less than this left is renewed. */
+    /** A grant with less than this remaining is renewed. */
     std::chrono::milliseconds renewThreshold{1100};
-    /** A grant without an answer is given up after this time. */
+    /** Time-out of a grant without an answer. */
     std::chrono::milliseconds grantTimeout{300};
-    /** The same for a release, which is answered when the work that runs on its keys has ended. */
+    /** Time-out of a release, which is answered when the work in progress on its keys has ended. */
     std::chrono::milliseconds releaseTimeout{700};
-    /** Pause after an order that failed. */
-    std::chrono::milliseconds retryAfter{100};
-    /** Part by which the upstream's clock may run slow, and so hold longer. */
+    /** Delay before the next order after one that failed. */
+    std::chrono::milliseconds retryDelay{100};
+    /** Fraction by which the upstream's clock may run slow, which makes it hold a grant longer. */
     double maxClockSlowdown = 0.02;
 };
 
 /**
- * Grants and releases to one upstream that gets its keys by calls, as plain data; the functions below alone change it.
+ * Grants and releases of one upstream that receives its grants by calls. Plain data, changed only by the functions
+ * below.
  *
- * Guard against two holders of one key. It shows when a grant whose answer was lost is carried out seconds later, after
- * its keys were released and given to another upstream. A grant is counted from the latest moment at which it can have
- * arrived, never outlasts the agent's lease, and one without an answer keeps its keys taken until its time is over,
- * whatever a release answers meanwhile.
+ * Guards against two holders of one key: a grant whose answer was lost could be executed seconds later, after its keys
+ * were released and given to another upstream. A grant is counted from the latest time at which it can have arrived and
+ * never outlasts the agent's lease. The keys of an unanswered grant count as possibly held until it has expired, even
+ * if a release is answered in the meantime.
  * Owned by the LocalUpstream.
  */
 struct GrantOrders {
     GrantTimes times;
     std::vector<KeyHold> holds;
-    /** Sent and not ended. */
+    /** Orders that were sent and have no outcome yet. */
     std::vector<GrantOrder> open;
-    /** Refused as outdated; under such an epoch a range is never ordered again. */
+    /** Refused as outdated; such a range is not granted again under the same or an older epoch. */
     std::vector<HeldRange> outdated;
     OrderId lastId = 0;
 };
 
 /**
- * Decides what to order now, and notes it as sent.
- * @param wanted what the upstream is to hold
- * @param unwanted what it is to give up, by the epoch under which it was granted
- * @param leaseUntil no grant may hold beyond this point
- * @return orders to be sent at once, each ended by recordOrderOutcome() exactly once
+ * Decides which orders are due now and records them as sent.
+ * @param wanted ranges that the upstream should hold
+ * @param unwanted ranges that it should release, with the epoch under which they were granted
+ * @param leaseUntil end of the agent's lease, which no grant may outlast
+ * @return orders to send immediately; recordOrderOutcome() must be called exactly once for each
  */
 std::vector<GrantOrder> takeDueOrders(GrantOrders &orders,
                                       const std::vector<WantedKeys> &wanted,
@@ -111,20 +112,22 @@
                                       BootTime leaseUntil,
                                       BootTime now);
 
-/** Notes what became of an order; another's id is ignored. */
+/** Records how an order ended; an unknown id is ignored. */
 void recordOrderOutcome(GrantOrders &orders, OrderId id, OrderOutcome outcome, BootTime now);
 
-/** The upstream said that it doesn't hold a key that was granted: its range is ordered again before it is served. */
+/** Records that the upstream doesn't hold a granted key: its range is granted again before it is served. */
 void recordKeyNotHeld(GrantOrders &orders, std::uint64_t hash);
 
-/** Forgets what has run out. @return what the upstream may hold now, and which of it for sure */
+/** Removes expired holds. @return the ranges that the upstream may hold now; confirmed where it definitely does */
 std::vector<HeldRange> currentlyHeld(GrantOrders &orders, BootTime now);
 
-/** @return when, after now, takeDueOrders() or currentlyHeld() may have something new to say; BootTime::max() when
- * never */
+/**
+ * @return the next time after @p now at which the result of takeDueOrders() or currentlyHeld() may change;
+ * BootTime::max() when never
+ */
 BootTime nextCheckAt(const GrantOrders &orders, BootTime now);
 
-/** The upstream's process has surely ended: it holds nothing, and no order reaches it any more. */
+/** Clears holds and orders after the upstream's process has definitely ended and can receive no further order. */
 void forgetAll(GrantOrders &orders);
 
 } // namespace bergamotweir::agent
--- a/include/agent/LoadSketch.h
+++ b/include/agent/LoadSketch.h
@@ -13,10 +13,10 @@
 
 namespace bergamotweir::agent {
 
-/** One key that a sketch watches. */
+/** One key tracked by a sketch. */
 struct TrackedKey {
     std::uint64_t hash = 0;
-    /** Requests counted, at most error of which may belong to keys that were watched here before. */
+    /** Counted requests, of which up to error may belong to keys tracked in this entry before. */
     std::uint64_t count = 0;
     std::uint64_t error = 0;
 };
@@ -24,40 +24,40 @@
 /** Requests to one service since the last report. */
 struct ServiceLoad {
     std::uint64_t requests = 0;
-    /** By the slice's begin. */
+    /** Number of requests by the begin of their slice. */
     std::map<std::uint64_t, std::uint64_t> slices;
     std::vector<TrackedKey> keys;
-    /** Answers of the upstream here, and the time that it worked on them. */
+    /** Answers of the local upstream, and the total time that it worked on them. */
     std::uint32_t answers = 0;
     std::chrono::nanoseconds worked{0};
 };
 
 /**
- * What an upstream's load consists of: requests per slice and the heaviest keys, in memory that doesn't grow with keys
- * (Space-Saving, Metwally et al. 2005: a key with more than a MaxTrackedKeys-th of the requests is always among those
- * watched). Owned by the agent; told to control with every tenth heartbeat and then begun anew.
+ * Load of an upstream by slice and by its hottest keys, in memory that doesn't grow with the number of keys
+ * (Space-Saving, Metwally et al. 2005: a key with more than 1/MaxTrackedKeys of the requests is always among the
+ * tracked keys). Owned by the agent; reported to control with every tenth heartbeat and then reset.
  */
 struct LoadSketch {
-    /** Keys watched for a service. */
+    /** Maximum number of keys tracked per service. */
     static constexpr std::size_t MaxTrackedKeys = 64;
-    /** Keys told for a service. */
+    /** Maximum number of keys reported per service. */
     static constexpr std::size_t MaxReportedKeys = 16;
-    /** Minimum share of the service's requests here for which a key is reported. */
+    /** Minimum share of the service's local requests at which a key is reported. */
     static constexpr double MinReportedShare = 0.02;
 
     std::map<std::string, ServiceLoad, std::less<>> services;
     BootTime since{};
 };
 
-/** Counts a request to a keyed service that came here to be served, whether there was room for it or not. */
+/** Counts a request to a keyed service that arrived here to be served, whether it is admitted or not. */
 void countRequest(LoadSketch &sketch, const RouteMap &map, std::string_view service, std::uint64_t hash);
 
-/** Counts an answer of the upstream here to a request for one of its keys. @param worked since the dispatch */
+/** Counts an answer of the local upstream to a request for one of its keys. @param worked time since the dispatch */
 void countAnswer(LoadSketch &sketch, std::string_view service, std::chrono::nanoseconds worked);
 
 /**
- * Tells the rates since the last report and begins anew.
- * Reports every slice owned here, also those without requests; otherwise control would keep their last rate.
+ * Adds the rates since the last report to a renewal and resets the sketch.
+ * Reports every slice owned here, including those without requests; otherwise control would keep their last rate.
  */
 void reportLoad(LoadSketch &sketch, const RouteMap &map, const Ownership &ownership, BootTime now, wire::Renew &renew);
 
--- a/include/agent/Ownership.h
+++ b/include/agent/Ownership.h
@@ -17,53 +17,53 @@
     bool operator<(const SliceKey &other) const;
 };
 
-/** A range of keys that an upstream may hold by a grant of its own, both ends included. */
+/** A range of keys that an upstream may hold by its own grant, both ends included. */
 struct HeldRange {
     std::uint64_t first = 0;
     std::uint64_t last = 0;
     std::uint64_t epoch = 0;
-    /** The upstream is known to hold it at this moment; otherwise it only may. */
+    /** Whether the upstream is known to hold the range now; otherwise it may hold it. */
     bool confirmed = true;
 
     bool operator==(const HeldRange &other) const = default;
 };
 
 /**
- * The slices of the agent's own upstreams: which are being given up, and what work is in progress on them.
+ * State of the slices of the agent's own upstreams: which are being released, and what work is in progress on them.
  * Owned by the agent process.
  */
 struct Ownership {
-    /** Ids that control gave to this agent's upstreams. */
+    /** Ids that control assigned to this agent's upstreams. */
     std::set<std::uint32_t> ownUpstreams;
-    /** No new work is taken, Released follows when the work in progress has ended. */
+    /** No new work is accepted; Released is sent when the work in progress has ended. */
     std::set<SliceKey> revoked;
-    /** Released was sent; never served again under that epoch, whatever a later leader knows of it. */
+    /** Released was sent. Never served again under that epoch, even if a later leader has no record of the release. */
     std::set<SliceKey> released;
     /** Hashes of the keys on which work is in progress at an upstream, per service. */
     std::map<std::string, std::multiset<std::uint64_t>, std::less<>> work;
     /**
-     * Whether upstreams keep grants of their own, renewed when they send a heartbeat. Such an upstream serves a key
-     * only while it holds it, and a revoked slice is released only once the upstream holds it no more.
+     * Whether upstreams hold their own grants, renewed when they send a heartbeat. Such an upstream serves a key only
+     * while it holds it, and a revoked slice is released only when the upstream no longer holds it.
      */
     bool upstreamsHoldGrants = false;
     /**
-     * Services whose upstream has said what it holds since this agent started. An upstream outlives its agent: until it
-     * speaks, or all that the agent before may have granted has run out, it may hold anything.
+     * Services whose upstream has reported what it holds since this agent started. An upstream outlives its agent:
+     * until it reports, or until all grants that the predecessor may have given have expired, it may hold any key.
      */
     std::set<std::string, std::less<>> servicesReported;
     bool predecessorGrantsExpired = false;
-    /** Per service, what the upstream may hold at this moment. */
+    /** Per service, the ranges that the upstream may hold now. */
     std::map<std::string, std::vector<HeldRange>, std::less<>> held;
-    /** Revoked slices that the upstream was told to give up: no new work from then on. */
+    /** Revoked slices whose revoke was sent to the upstream; no new work is accepted from then on. */
     std::set<SliceKey> revokesSent;
-    /** What upstreams gave out with slices that they gave up, for the next owner. */
+    /** Handover data that upstreams provided with released slices, for the next owner. */
     std::map<SliceKey, std::string> handovers;
 };
 
-/** Why a keyed request may not be dispatched here. */
+/** Why a keyed request can't be dispatched here. */
 enum class OwnershipRefusal {
     None,
-    /** Another upstream owns the slice, or nobody does. */
+    /** Another upstream owns the slice, or it has no owner. */
     NotOwner,
     NoLease,
     /** The slice is being moved away. */
@@ -71,9 +71,9 @@
 };
 
 /**
- * Decides at the moment of a dispatch whether this agent may serve a key.
+ * Decides at the time of a dispatch whether this agent may serve a key.
  * @param now the time of the dispatch
- * @param slice receives the slice when the answer is None
+ * @param slice receives the slice when the result is None
  */
 OwnershipRefusal checkOwnership(const Ownership &ownership,
                                 const RouteMap &map,
@@ -91,35 +91,36 @@
                  std::uint64_t hash,
                  BootTime now);
 
-/** @return whether one of the ranges that are surely held, under the slice's epoch, covers all of the slice */
+/** @return whether one of the confirmed ranges covers the whole slice under the slice's epoch */
 bool covers(const std::vector<HeldRange> &held, const RouteMap &map, std::string_view service, const Slice &slice);
 
-/** Handles a key that the upstream disowned: its range counts as not held until it is granted again. */
+/** Records that the upstream doesn't hold a key: its range counts as not held until it is granted again. */
 void recordKeyNotHeld(Ownership &ownership, std::string_view service, std::uint64_t hash);
 
-/** Counts work on a key from its dispatch until it has surely ended; endWork() is called with the same key. */
+/** Counts work on a key from its dispatch until it has definitely ended; endWork() is called with the same key. */
 void beginWork(Ownership &ownership, const std::string &service, std::uint64_t hash);
 void endWork(Ownership &ownership, const std::string &service, std::uint64_t hash);
 
-/** Stops new work on the slices; ones that this agent doesn't own under that epoch count as revoked as well. */
+/** Stops new work on the slices; slices that this agent doesn't own under that epoch are marked as revoked too. */
 void revoke(Ownership &ownership, const wire::Revoke &order);
 
 /**
- * Takes out the revoked slices on which no work is left, to be told to control.
- * Work is counted by key hash, not by slice: a split or a merge while it runs doesn't hide it.
- * @return empty when there is nothing to tell
+ * Removes and returns the revoked slices on which no work is in progress, to be reported to control.
+ * Work is counted by key hash and not by slice, so that a split or a merge in the meantime doesn't hide it.
+ * @return empty when there is nothing to report
  */
 wire::Released takeReleased(Ownership &ownership, const RouteMap &map);
 
 /**
- * After the first full state of a session: finds released slices that the state still gives to this agent under the
- * same epoch. The leader that heard Released may be gone; told again, its follower gives the slice a new epoch.
- * Revocations stand as well: their Released follows when the work ends, whoever leads then.
- * @return what has to be told again
+ * Finds, after the first full state of a session, released slices that the state still assigns to this agent under the
+ * same epoch. The leader that received Released may have been replaced; when the message is sent again, its successor
+ * gives the slice a new epoch. Revocations stay in force too: Released is sent to the current leader when their work
+ * ends.
+ * @return the slices to report again
  */
 wire::Released resumeReleased(Ownership &ownership, const RouteMap &map);
 
-/** Forgets revoked and released slices that the map has since given a newer epoch. */
+/** Forgets released slices, and handover data of slices, that have a newer epoch in the map. */
 void forgetOldEpochs(Ownership &ownership, const RouteMap &map);
 
 } // namespace bergamotweir::agent
--- a/include/agent/QueuePriority.h
+++ b/include/agent/QueuePriority.h
@@ -6,38 +6,38 @@
 
 namespace bergamotweir::agent {
 
-/** In which order waiting requests are served, and how long waiting makes sense. */
+/** Order in which waiting requests are served, and how long they may wait. */
 struct QueuePriority {
-    /** 0 is the most urgent; a less urgent one waits for all that are more urgent. */
+    /** 0 is the highest priority; requests of a lower priority wait for all of a higher one. */
     unsigned priority = 0;
-    /** Among equals, the earlier goes first: a request that has to be quick overtakes one that has time. */
+    /** Within one priority the earlier target deadline is served first, so that short requests overtake long ones. */
     BootTime targetDeadline{};
-    /** Not handed to an upstream by then, it is refused, as its answer would come too late to be worth much. */
+    /** A request not dispatched to an upstream by then is refused, as its answer would be too late to be useful. */
     BootTime dispatchDeadline = BootTime::max();
-    /** A key whose owner is being changed is waited for until then. */
+    /** How long a request waits for the next owner of its key while the key is being moved. */
     BootTime ownerWaitDeadline = BootTime::max();
 };
 
-/** What the routes say of a request's time. */
+/** Times and priority that the routes set for a request. */
 struct TimeTargets {
-    /** An answer within this time is as good as can be. */
+    /** Latency up to which an answer has its full value. */
     std::chrono::milliseconds targetLatency{0};
-    /** Longest time that a caller is kept waiting. */
+    /** Maximum time that a caller is kept waiting. */
     std::chrono::milliseconds timeout{0};
     unsigned priority = 0;
 };
 
 /**
- * Decides how urgent a request is.
+ * Computes the queue priority of a request.
  *
- * The load that it answers: more comes than the upstreams can serve, and requests make calls of their own to other
- * services. First come first served, all wait equally long: the calls, which are short but must be quick, are late, and
- * with each the request that made it is lost after its work was done.
- * @param acceptedAt when its first agent took it
+ * Guards against wasted work under overload, when requests call other services while they run. In first-come
+ * first-served order all requests wait equally long: the calls, which are short and have early deadlines, are late, and
+ * each late call fails the request that made it after work was done on it.
+ * @param acceptedAt when the first agent accepted the request
  */
 QueuePriority queuePriorityOf(const TimeTargets &targets, BootTime acceptedAt);
 
-/** @return whether one goes before the other */
+/** @return whether @p one is served before @p other */
 bool hasPriorityOver(const QueuePriority &one, const QueuePriority &other);
 
 } // namespace bergamotweir::agent
--- a/include/agent/RequestAction.h
+++ b/include/agent/RequestAction.h
@@ -7,47 +7,47 @@
 
 namespace bergamotweir::agent {
 
-/** What the owner of a RequestState has to do. */
+/** What the owner of a RequestState must do. */
 enum class ActionKind {
     /** Ask control for the claim. */
     Claim,
     /** Find an upstream, then step() with Routed. */
     Route,
-    /** Hold the request until the routes change, at most delay; then step() with Woken. */
+    /** Hold the request until the routes change, for delay at most; then step() with Woken. */
     Wait,
-    /** Enter the attempt into the local gate. */
+    /** Request admission for the attempt at the local gate. */
     EnterGate,
-    /** Hand the attempt to the local upstream. */
+    /** Send the attempt to the local upstream. */
     Dispatch,
-    /** Hand the attempt to the agent of another upstream. */
+    /** Send the attempt to the agent of another upstream. */
     Forward,
-    /** Give the attempt up: out of the gate, or close its connection. No event follows. */
+    /** Cancel the attempt: remove it from the gate's queue or close its connection. No event follows. */
     Cancel,
     /** step() with HedgeDue after the service's hedge delay. */
     ArmHedge,
-    /** Pass the attempt's answer on to the caller. */
+    /** Relay the attempt's answer to the caller. */
     Relay,
-    /** Pass the answer recorded with the claim on to the caller. */
+    /** Relay the answer recorded with the claim to the caller. */
     RelayRecorded,
     /** Answer the caller with a problem. */
     Refuse,
-    /** Tell control how the claimed request ended; outcome. */
+    /** Report claimResolution of the claimed request to control. */
     Record
 };
 
 /** What is recorded with a claim. */
 enum class ClaimResolution {
-    /** Surely didn't run: the id may be claimed again. */
+    /** The request has definitely not run: its id may be claimed again. */
     Released,
-    /** The attempt's answer. */
+    /** The attempt's answer is recorded. */
     Answered,
-    /** May have run. */
+    /** The request may have run. */
     Unknown
 };
 
 /** Why a request is refused. */
 enum class RefusalCause {
-    /** A failed attempt; end says how. */
+    /** A failed attempt; outcome says how it failed. */
     Attempt,
     DeadlinePassed,
     ClaimConflict,
@@ -56,7 +56,7 @@
     ClaimUnknown,
     ClaimsFull,
     ClaimUnavailable,
-    /** The workspace's limit. */
+    /** The workspace's limit is used up. */
     Limit
 };
 
@@ -66,9 +66,9 @@
     AttemptOutcome outcome = AttemptOutcome::NotOwner;
     int status = 0;
     Ran ran = Ran::Unknown;
-    /** Whether coming back later helps. */
+    /** Whether a later retry by the caller may succeed. */
     bool retryAfter = false;
-    /** When the caller may come back, where that is known. */
+    /** Delay after which the caller should retry, when it is known. */
     std::optional<std::chrono::milliseconds> retryAfterDelay = std::nullopt;
 };
 
--- a/include/agent/RequestEvent.h
+++ b/include/agent/RequestEvent.h
@@ -6,41 +6,41 @@
 
 namespace bergamotweir::agent {
 
-/** What may happen to a request. */
+/** Kind of an event in the life of a request. */
 enum class EventKind {
     Accepted,
-    /** Its fingerprint crashed two upstreams before. */
+    /** The request's fingerprint is quarantined, as it crashed two upstreams before. */
     FoundQuarantined,
-    /** claim says what control answered. */
+    /** Control answered the claim; claim has the answer. */
     ClaimAnswered,
-    /** upstream and local say where a Route action led; upstream 0 means nowhere now. */
+    /** Result of a Route action in upstream and local; upstream 0 means that there is none at present. */
     Routed,
-    /** Routes changed, or a pause is over. */
+    /** The routes changed, or the delay of a Wait action is over. */
     Woken,
-    /** No more requests may wait. */
+    /** The number of waiting requests is at its upper bound. */
     WaitRefused,
-    /** The local gate let the attempt through. */
+    /** The local gate admitted the attempt. */
     Admitted,
-    /** The attempt ended; end, mayHaveRun. */
+    /** The attempt ended, as given in outcome and mayHaveRun. */
     AttemptEnded,
     HedgeDue,
     DeadlinePassed,
     CallerDisconnected
 };
 
-/** What control said about a claim; mirrors wire::ClaimVerdict with the recorded cases told apart. */
+/** Control's answer to a claim; mirrors wire::ClaimVerdict, with two values for a recorded answer. */
 enum class ClaimAnswer {
     Granted,
-    /** Another attempt has it and hasn't ended. */
+    /** Another attempt holds the claim and has not ended. */
     InProgress,
     /** The recorded answer follows. */
     Recorded,
-    /** Recorded, but without its body. */
+    /** An answer is recorded, but without its body. */
     RecordedWithoutBody,
-    /** Same id, other request. */
+    /** The id is claimed by a different request. */
     Conflict,
     Unknown,
-    /** Control has no room for another claim, and none under this id. */
+    /** Control stores its maximum number of claims, and none of them has this id. */
     Full,
     Unavailable
 };
--- a/include/agent/RequestState.h
+++ b/include/agent/RequestState.h
@@ -11,94 +11,94 @@
 
 namespace bergamotweir::agent {
 
-/** What can be said about whether a request ran. */
+/** Whether a request ran, as far as this is known. */
 enum class Ran { No, Unknown, Yes };
 
-/** Where a request stands, beside its attempts. */
+/** Stage of a request; its attempts have stages of their own. */
 enum class Stage {
     Accepted,
-    /** The claim of its Idempotency-Key is being asked for. */
+    /** Its Idempotency-Key is being claimed at control. */
     Claiming,
-    /** Held back for a short while: no owner now, a move in progress, or a pause before a retry. */
+    /** Held for a short time: there is no owner, a move is in progress, or a retry is delayed. */
     Waiting,
-    /** At least one attempt is live. */
+    /** At least one attempt is in progress. */
     Running,
-    /** The caller has its answer or is gone; a claim's outcome may still be on its way to control. */
+    /** The caller has its answer or has disconnected; the outcome of a claim may still be on its way to control. */
     Ended
 };
 
-/** Where one attempt stands. */
+/** Stage of one attempt. */
 enum class AttemptStage {
-    /** In the local gate's queue: surely not sent. */
+    /** In the local gate's queue; definitely not sent. */
     Queued,
-    /** Handed to the upstream beside this agent. */
+    /** Sent to the local upstream. */
     Dispatched,
-    /** Handed to another agent. */
+    /** Sent to another agent. */
     Forwarded
 };
 
-/** One live try at one upstream. */
+/** One attempt in progress at one upstream. */
 struct Attempt {
     unsigned id = 0;
     std::uint32_t upstream = 0;
     AttemptStage stage = AttemptStage::Queued;
 };
 
-/** Attempts of one request at most, hedges and retries together; waiting for an owner isn't counted. */
+/** Maximum number of attempts of one request, hedges and retries included; waiting for an owner isn't counted. */
 constexpr unsigned MaxTries = 3;
 
-/** What is known of a request when it is accepted. */
+/** Properties of a request that are known when it is accepted. */
 struct RequestFacts {
     std::string service;
     std::string method;
     bool keyed = false;
     /** Hash of the Routing-Key; only for keyed services. */
     std::uint64_t hash = 0;
-    /** POST or PATCH with an Idempotency-Key, at the agent that the caller sent it to. */
+    /** POST or PATCH with an Idempotency-Key, at the agent that received it from the caller. */
     bool claimed = false;
-    /** It came from another agent, which keeps claims and retries to itself. */
+    /** Received from another agent, which alone is responsible for claims and retries. */
     bool forwarded = false;
     BootTime deadline;
-    /** Whether a request that may have run may be sent again, where the routes say so; else the method tells. */
+    /** Whether the request may be sent again after it may have run, as set by the routes; unset: the method decides. */
     std::optional<bool> repeatable = std::nullopt;
-    /** Most upstreams that it may be sent to. */
+    /** Maximum number of attempts. */
     unsigned maxTries = MaxTries;
-    /** How long waiting makes sense, and who goes before whom. */
+    /** Order and deadlines of waiting. */
     QueuePriority queuePriority = {};
-    /** Whether a second send may run beside a slow first one. */
+    /** Whether a second attempt may run in parallel to a slow first one. */
     bool canHedge = true;
 };
 
 /**
- * The life of one request, as plain data; step() alone changes it.
- * Owned by whoever carries out the actions: the agent process, or a test.
+ * State of one request. Plain data, changed only by step().
+ * Owned by the code that executes the actions: the agent process, or a test.
  */
 struct RequestState {
     RequestFacts facts;
     Stage stage = Stage::Accepted;
-    /** The worst that ended attempts and earlier sends under the same Idempotency-Key left behind. */
+    /** Highest value over all ended attempts and earlier sends under the same Idempotency-Key. */
     Ran ran = Ran::No;
     bool claimGranted = false;
     std::vector<Attempt> live;
     unsigned lastAttempt = 0;
-    /** Attempts begun, hedges included. */
+    /** Number of attempts begun, hedges included. */
     unsigned tries = 0;
     bool hedged = false;
     /** Whether the next routed attempt is the hedge. */
     bool routingHedge = false;
-    /** Upstreams that ended an attempt without an answer. */
+    /** Upstreams at which an attempt ended without an answer. */
     std::vector<std::uint32_t> tried;
-    /** How the last attempt without an answer ended. */
+    /** Outcome of the last attempt without an answer. */
     AttemptOutcome lastOutcome = AttemptOutcome::NotOwner;
 };
 
-/** @return whether the request may be sent again although an earlier send may have run */
+/** @return whether the request may be sent again after an earlier send that may have run */
 bool canRetry(const RequestFacts &facts);
 
-/** @return whether RFC 9110 lets the method be sent twice */
+/** @return whether the method is idempotent according to RFC 9110 */
 bool isIdempotent(const std::string &method);
 
-/** @return whether a second send may run beside the first: only reads */
+/** @return whether the method is a read; only reads may be hedged */
 bool isRead(const std::string &method);
 
 } // namespace bergamotweir::agent
--- a/include/agent/RetryAfter.h
+++ b/include/agent/RetryAfter.h
@@ -9,15 +9,15 @@
 namespace bergamotweir::agent {
 
 /**
- * Chooses when a caller whose request was refused, and surely did not run, should come back. For callers that wait for
- * two seconds or more and come back once or twice.
+ * Chooses the retry-after of a request that was refused and has definitely not run. Meant for callers with a deadline
+ * of two seconds or more that retry once or twice.
  *
- * The loads that it answers: where there was no room, room comes with the next finished work, and an early return may
- * still be in its target. Where nobody serves the key or the route now, an owner is granted it within a heartbeat or
- * two: who comes back sooner is surely refused again, and has no further try. Both are spread, so that callers who were
- * refused together don't return together.
- * @param outcome why the last attempt ended
- * @return the time to wait
+ * After an overload a slot becomes free when the next request in progress ends, and an early retry may still meet its
+ * target. Where the key or the route has no serving owner at present, a new owner is granted within one or two
+ * heartbeats: a caller that retries earlier would be refused again and use up its retries. Both delays are jittered, so
+ * that callers refused at the same time don't retry at the same time.
+ * @param outcome of the last attempt
+ * @return delay before the retry
  */
 std::chrono::milliseconds chooseRetryAfter(AttemptOutcome outcome, pcg32 &random);
 
--- a/include/agent/RouteMap.h
+++ b/include/agent/RouteMap.h
@@ -15,30 +15,30 @@
 
 namespace bergamotweir::agent {
 
-/** One range of a service's hash space, up to the next slice's begin, and who owns it. */
+/** One range of a service's hash space, up to the next slice's begin, and its owner. */
 struct Slice {
     std::uint64_t begin = 0;
-    /** Upstream id; 0 means that nobody does. */
+    /** Upstream id; 0 when the slice has no owner. */
     std::uint32_t owner = 0;
     std::uint64_t epoch = 0;
-    /** What the owner before gave out with its release; empty when it gave nothing. */
+    /** Handover data that the previous owner provided with its release; empty when there is none. */
     std::string handover = {};
 
     bool operator==(const Slice &other) const = default;
 };
 
 /**
- * What control has put in force, as far as this agent knows: owners of slices, upstreams, the table and the marks.
- * Good enough to route by when stale, since the owner's agent checks again under its lease. Owned by the agent
- * process; filled by StateUpdates only.
+ * This agent's copy of the state in force at control: owners of slices, upstreams, the table and the marks.
+ * It can be used for routing even when it is stale, since the owner's agent checks again under its lease. Owned by the
+ * agent process; changed only by StateUpdates.
  */
 struct RouteMap {
-    /** The highest version applied; it never goes back. */
+    /** The highest version applied; it never decreases. */
     wire::Version version;
     /** The serial number of the table, and its text. */
     std::uint64_t tableVersion = 0;
     std::string csv;
-    /** Routes, without the operator's own text. */
+    /** Routes, without the operator's original text. */
     wire::RouteTable routes;
     std::set<std::string, std::less<>> failureDomainsOut;
     std::set<std::string, std::less<>> upstreamsOut;
@@ -48,10 +48,10 @@
     std::unordered_set<std::uint64_t> quarantined;
 };
 
-/** What became of a StateUpdate. */
+/** Outcome of apply() for a StateUpdate. */
 enum class UpdateOutcome {
     Applied,
-    /** Older than what is in force: it came from a replica that is behind, and was left out. */
+    /** Ignored, as it is older than the applied state: it came from a replica that is behind. */
     Older
 };
 
@@ -59,9 +59,9 @@
 bool isOlder(const wire::Version &left, const wire::Version &right);
 
 /**
- * Applies an update unless that would take the map back to an older state.
- * Guard against a reverting configuration. It shows when an agent reaches a replica on the far side of a partition,
- * which still holds an old table. Versions order all that control hands out, and an older one is refused here.
+ * Applies an update unless its version is older than the map's.
+ * Guards against reverting the configuration when an agent connects to a replica on the other side of a partition that
+ * still has an old table. All state sent by control is ordered by versions, and an older one is ignored here.
  * @param update a full state or a change on the same session
  */
 UpdateOutcome apply(RouteMap &map, const wire::StateUpdate &update);
--- a/include/agent/Router.h
+++ b/include/agent/Router.h
@@ -10,69 +10,70 @@
 
 namespace bergamotweir::agent {
 
-/** An upstream that a request may go to, as table and marks have it. */
+/** An upstream to which the table and the marks allow a request to be sent. */
 struct Candidate {
     std::uint32_t upstream = 0;
     /** More than 0. */
     double weight = 1;
-    /** Whether it is in the failure domain of this agent. */
+    /** Whether the upstream is in the failure domain of this agent. */
     bool localDomain = false;
 };
 
-/** What this agent has seen of an upstream. */
+/** Health of an upstream as observed by this agent. */
 struct UpstreamHealth {
-    /** Requests of this agent that the upstream, or the agent beside it, hasn't answered. */
+    /** Requests of this agent in flight to the upstream or its agent. */
     unsigned outstanding = 0;
-    /** Smoothed time to an answer; 0 when none was seen. */
+    /** Smoothed latency of answers; 0 when there was none. */
     std::chrono::nanoseconds latency{0};
     unsigned answers = 0;
     unsigned failuresInRow = 0;
-    /** What the last answer said of its gate: in progress and waiting over allowed. */
+    /** Load of its gate as reported with the last answer: requests in progress and waiting, divided by the limit. */
     double load = 0;
     BootTime loadAt;
-    /** Its last answer, or when it got a request after having none. */
+    /** Time of its last answer, or when a request was sent to it while it had none in flight. */
     BootTime progressAt;
-    /** No requests before this point. */
+    /** No requests are sent before this point. */
     BootTime ejectedUntil;
-    /** Ejected in a row; doubles the time of the next one. */
+    /** Consecutive ejections; each doubles the duration of the next one. */
     unsigned ejections = 0;
-    /** Good answers still wanted after an ejection; until then it gets one request at a time. */
+    /** Fast answers still required after an ejection; until then one request is sent at a time. */
     unsigned probesLeft = 0;
 };
 
-/** How upstreams of an unkeyed service are chosen; more than one for the measurements. */
+/** How upstreams of an unkeyed service are chosen; there are several policies for comparison in measurements. */
 enum class ChoicePolicy {
-    /** Weighted power of two choices with ejection. */
+    /** Weighted power of two choices with outlier ejection. */
     TwoChoices,
     UniformRandom,
     RoundRobin,
     WeightedRandom
 };
 
-/** What this agent knows of one service's upstreams; owned by the agent process. */
+/** Routing state of one service; owned by the agent process. */
 struct ServiceRouting {
     ChoicePolicy policy = ChoicePolicy::TwoChoices;
     /**
-     * Below this load an upstream in the agent's own failure domain is taken before any other; 0 treats all alike.
-     * Bytes between failure domains cost money, and within one they cost nothing.
+     * Below this load an upstream in the agent's own failure domain is preferred to all others; 0 disables this.
+     * Traffic between failure domains costs money, traffic within one is free.
      */
     double maxLocalLoad = 0;
     std::map<std::uint32_t, UpstreamHealth> health;
     std::uint64_t nextIndex = 0;
-    /** Lower median of the upstreams' latencies, and when it was found. */
+    /** Lower median of the upstreams' latencies, and when it was computed. */
     std::chrono::nanoseconds median{0};
     BootTime medianAt;
-    /** Running estimate of the time that all but one in twenty answers take; a read not answered by then is hedged. */
+    /** Running estimate of the 95th percentile of the latency; a read not answered within it is hedged. */
     std::chrono::nanoseconds hedgeDelay{std::chrono::milliseconds(10)};
 };
 
 /**
- * Chooses where to send a request.
- * Guard against a straggler that keeps its share. It shows as a long tail while one upstream is slowed by neighbours,
- * whose own reports say so late. Ejection goes by the latency seen here, each ejection ends in single probes, and a
- * third of the upstreams at most is out at once, or half while there is room, so it can't take out everyone.
+ * Chooses the upstream for a request.
+ * Guards against a straggler that keeps its share of the load, which gives a long tail of latencies while one upstream
+ * is slowed by its neighbours and its own load reports show this late. Outlier ejection uses the latency observed here.
+ * Each ejection ends with single probes, and at most a third of the upstreams is ejected at the same time, or half at
+ * low load, so that never all are ejected.
  * @param candidates in service, weight above 0
- * @param tried upstreams to leave out as long as another one is left
+ * @param tried upstreams that are not chosen
  * @return upstream id; 0 when there is no candidate that has not been tried
  */
 std::uint32_t choose(ServiceRouting &routing,
@@ -81,20 +82,23 @@
                      pcg32 &random,
                      BootTime now);
 
-/** A request goes to @p upstream. */
+/** Records that a request is sent to @p upstream. */
 void recordSent(ServiceRouting &routing, std::uint32_t upstream, BootTime now);
 
-/** It was answered. @param load of the answer's Upstream-Load; below 0 when it had none */
+/** Records an answer. @param load value of the answer's Upstream-Load; below 0 when it had none */
 void recordAnswered(
     ServiceRouting &routing, std::uint32_t upstream, std::chrono::nanoseconds latency, double load, BootTime now);
 
-/** It was shed: the upstream is fuller than its last answer said, which is no fault of it. */
+/** Records that a request was shed: the load is higher than last reported. This doesn't count as a failure. */
 void recordShed(ServiceRouting &routing, std::uint32_t upstream, BootTime now);
 
-/** It failed. @param waited since it was sent */
+/** Records a failed request. @param waited time since it was sent */
 void recordFailed(ServiceRouting &routing, std::uint32_t upstream, std::chrono::nanoseconds waited, BootTime now);
 
-/** It was given up, as the loser of a hedge or with its caller. @param waited since it was sent */
+/**
+ * Records a cancelled request: the loser of a hedge, or one whose caller disconnected.
+ * @param waited time since it was sent
+ */
 void recordCancelled(ServiceRouting &routing, std::uint32_t upstream, std::chrono::nanoseconds waited, BootTime now);
 
 /** @return whether the upstream is ejected at @p now */
--- a/src/agent/AdaptiveLimit.cpp
+++ b/src/agent/AdaptiveLimit.cpp
@@ -9,31 +9,31 @@
 
 using std::chrono::nanoseconds;
 
-/** A window closes with so many answers per allowed request, ... */
+/** Number of answers per allowed request, and at least in total, after which a window closes. */
 constexpr unsigned AnswersPerSlot = 3;
-constexpr unsigned LeastAnswers = 24;
-/** ... but not before this, and after the longest time with whatever it has. */
-constexpr std::chrono::milliseconds ShortestWindow{10};
-constexpr std::chrono::milliseconds LongestWindow{1000};
-
-/** Latency over the reference that counts as crowded. */
-constexpr double CrowdedRatio = 1.3;
-/** Latency over the reference up to which the limit may grow; between the two it stays. */
-constexpr double CalmRatio = 1.2;
-/** Latency over the reference that looks like a cold cache or a straggler. */
+constexpr unsigned MinAnswers = 24;
+/** Minimum duration of a window, and the maximum after which it closes with the samples that it has. */
+constexpr std::chrono::milliseconds MinWindow{10};
+constexpr std::chrono::milliseconds MaxWindow{1000};
+
+/** Ratio of latency to reference above which the upstream counts as congested. */
+constexpr double CongestedRatio = 1.3;
+/** Ratio of latency to reference below which the limit may grow; between this and CongestedRatio it stays unchanged. */
+constexpr double MaxGrowthRatio = 1.2;
+/** Ratio of latency to reference above which a cold cache or a straggler is assumed. */
 constexpr double ColdRatio = 3;
-/** So many crowded windows in a row say that the reference is no longer true. */
-constexpr unsigned MostCrowdedWindows = 8;
-
-constexpr double CrowdedStep = 0.85;
-constexpr double ShedStep = 0.7;
-constexpr double ColdTurnStep = 0.25;
-constexpr double ColdGrowth = 1.3;
-/** Added per window once the limit was too high. */
-constexpr double CarefulGrowth = 0.5;
-/** How the reference follows a lower and a higher latency, per window. */
-constexpr double FollowDown = 0.2;
-constexpr double FollowUp = 0.1;
+/** After this number of consecutive congested windows the reference is considered outdated. */
+constexpr unsigned MaxCongestedWindows = 8;
+
+constexpr double CongestedFactor = 0.85;
+constexpr double ShedFactor = 0.7;
+constexpr double ColdResetFactor = 0.25;
+constexpr double ColdGrowthFactor = 1.3;
+/** Added to the limit per window after it was too high once. */
+constexpr double AdditiveIncrease = 0.5;
+/** Weights of a window in the reference, for a lower and for a higher latency. */
+constexpr double ReferenceWeightDown = 0.2;
+constexpr double ReferenceWeightUp = 0.1;
 
 double ratio(nanoseconds value, nanoseconds reference)
 {
@@ -45,24 +45,24 @@
     limit.limit = std::clamp(limit.limit, 1.0, static_cast<double>(limit.ceiling));
 }
 
-void learnReference(AdaptiveLimit &limit, nanoseconds mean)
+void updateReference(AdaptiveLimit &limit, nanoseconds mean)
 {
     if (limit.reference.count() == 0) {
         limit.reference = mean;
         return;
     }
-    // A cold upstream's reference only falls: were it to follow the crowding, the limit would climb with it.
-    const double followUp = limit.phase == LimitPhase::Cold ? 0 : FollowUp;
-    const double follow = mean < limit.reference ? FollowDown : followUp;
-    const auto change = static_cast<double>((mean - limit.reference).count()) * follow;
+    // A cold upstream's reference only falls. If it rose with a congested latency, the limit would rise with it.
+    const double weightUp = limit.phase == LimitPhase::Cold ? 0 : ReferenceWeightUp;
+    const double weight = mean < limit.reference ? ReferenceWeightDown : weightUp;
+    const auto change = static_cast<double>((mean - limit.reference).count()) * weight;
     limit.reference += nanoseconds(static_cast<nanoseconds::rep>(change));
 }
 
-/** Cuts the limit and measures the reference anew there. */
-void turnCold(AdaptiveLimit &limit)
+/** Cuts the limit and restarts the measurement of the reference at the lower limit. */
+void resetToCold(AdaptiveLimit &limit)
 {
     limit.phase = LimitPhase::Cold;
-    limit.limit *= ColdTurnStep;
+    limit.limit *= ColdResetFactor;
     limit.reference = nanoseconds(0);
     limit.isSettling = true;
     limit.congestedWindows = 0;
@@ -70,10 +70,10 @@
 }
 
 /**
- * Guard against shrinking by chance. It shows as a queue at a gate whose upstream is half idle: a few slow answers in a
- * window look like crowding. Crowding needs a crowd, so a window whose peak was below the limit says nothing of it.
+ * Guards against cutting the limit by chance, which shows as a queue at a gate whose upstream is half idle: a few slow
+ * answers in a window look like congestion. A window whose peak was below the limit can't show congestion by load.
  */
-bool wasUsed(const AdaptiveLimit &limit)
+bool reachedLimit(const AdaptiveLimit &limit)
 {
     return limit.window.peak >= allowedConcurrency(limit);
 }
@@ -81,9 +81,9 @@
 void grow(AdaptiveLimit &limit)
 {
     limit.congestedWindows = 0;
-    if (wasUsed(limit)) {
+    if (reachedLimit(limit)) {
         const bool fast = limit.phase == LimitPhase::Cold && !limit.wasCongested;
-        limit.limit = fast ? std::max(limit.limit + 1, limit.limit * ColdGrowth) : limit.limit + CarefulGrowth;
+        limit.limit = fast ? std::max(limit.limit + 1, limit.limit * ColdGrowthFactor) : limit.limit + AdditiveIncrease;
     }
     if (limit.limit >= limit.ceiling) {
         limit.phase = LimitPhase::Steady;
@@ -91,39 +91,39 @@
     }
 }
 
-void judgeLatency(AdaptiveLimit &limit, nanoseconds mean)
+void adjustLimit(AdaptiveLimit &limit, nanoseconds mean)
 {
     if (limit.isSettling) {
         limit.isSettling = false;
         return;
     }
-    const double crowding = limit.reference.count() == 0 ? 1 : ratio(mean, limit.reference);
-    if (crowding > ColdRatio || limit.congestedWindows >= MostCrowdedWindows) {
-        turnCold(limit);
+    const double latencyRatio = limit.reference.count() == 0 ? 1 : ratio(mean, limit.reference);
+    if (latencyRatio > ColdRatio || limit.congestedWindows >= MaxCongestedWindows) {
+        resetToCold(limit);
         return;
     }
     if (limit.window.sheds > 0) {
-        limit.limit *= ShedStep;
+        limit.limit *= ShedFactor;
         limit.wasCongested = true;
-    } else if (crowding > CrowdedRatio && wasUsed(limit)) {
-        limit.limit *= CrowdedStep;
+    } else if (latencyRatio > CongestedRatio && reachedLimit(limit)) {
+        limit.limit *= CongestedFactor;
         limit.congestedWindows++;
         limit.wasCongested = true;
-    } else if (crowding < CalmRatio) {
+    } else if (latencyRatio < MaxGrowthRatio) {
         grow(limit);
     }
-    // Were the reference to follow a crowded latency, the limit would grow into the crowd again.
-    if (crowding <= CrowdedRatio) {
-        learnReference(limit, mean);
+    // If the reference followed a congested latency, the limit would grow under congestion.
+    if (latencyRatio <= CongestedRatio) {
+        updateReference(limit, mean);
     }
 }
 
 void closeWindow(AdaptiveLimit &limit, BootTime now)
 {
     if (limit.window.answers > 0) {
-        judgeLatency(limit, limit.window.sum / limit.window.answers);
+        adjustLimit(limit, limit.window.sum / limit.window.answers);
     } else if (limit.window.sheds > 0) {
-        limit.limit *= ShedStep;
+        limit.limit *= ShedFactor;
     }
     clampLimit(limit);
     limit.window = {};
@@ -133,9 +133,9 @@
 void closeWindowIfDue(AdaptiveLimit &limit, BootTime now)
 {
     const auto age = now - limit.window.start;
-    const unsigned wanted = std::max(LeastAnswers, AnswersPerSlot * allowedConcurrency(limit));
-    const bool full = limit.window.answers + limit.window.sheds >= wanted && age >= ShortestWindow;
-    if (full || age >= LongestWindow) {
+    const unsigned minSamples = std::max(MinAnswers, AnswersPerSlot * allowedConcurrency(limit));
+    const bool full = limit.window.answers + limit.window.sheds >= minSamples && age >= MinWindow;
+    if (full || age >= MaxWindow) {
         closeWindow(limit, now);
     }
 }
--- a/src/agent/AttemptOutcome.cpp
+++ b/src/agent/AttemptOutcome.cpp
@@ -8,41 +8,41 @@
 
 namespace {
 
-struct NamedEnd {
+struct NamedOutcome {
     AttemptOutcome outcome;
     std::string_view name;
 };
 
-constexpr std::array<NamedEnd, 12> NamedEnds{{{AttemptOutcome::Answered, "answered"},
-                                              {AttemptOutcome::NotOwner, "not-owner"},
-                                              {AttemptOutcome::KeyNotHeld, "disowned"},
-                                              {AttemptOutcome::Overloaded, "no-room"},
-                                              {AttemptOutcome::OverLimit, "over-limit"},
-                                              {AttemptOutcome::Quarantined, "quarantined"},
-                                              {AttemptOutcome::NotSent, "not-sent"},
-                                              {AttemptOutcome::ConnectionLost, "broken"},
-                                              {AttemptOutcome::Crashed, "crashed"},
-                                              {AttemptOutcome::TruncatedAnswer, "short-answer"},
-                                              {AttemptOutcome::TooLarge, "too-large"},
-                                              {AttemptOutcome::TimedOut, "timed-out"}}};
+constexpr std::array<NamedOutcome, 12> NamedOutcomes{{{AttemptOutcome::Answered, "answered"},
+                                                      {AttemptOutcome::NotOwner, "not-owner"},
+                                                      {AttemptOutcome::KeyNotHeld, "disowned"},
+                                                      {AttemptOutcome::Overloaded, "no-room"},
+                                                      {AttemptOutcome::OverLimit, "over-limit"},
+                                                      {AttemptOutcome::Quarantined, "quarantined"},
+                                                      {AttemptOutcome::NotSent, "not-sent"},
+                                                      {AttemptOutcome::ConnectionLost, "broken"},
+                                                      {AttemptOutcome::Crashed, "crashed"},
+                                                      {AttemptOutcome::TruncatedAnswer, "short-answer"},
+                                                      {AttemptOutcome::TooLarge, "too-large"},
+                                                      {AttemptOutcome::TimedOut, "timed-out"}}};
 
 } // namespace
 
 std::string_view toText(AttemptOutcome outcome)
 {
-    const auto *found = std::find_if(NamedEnds.begin(), NamedEnds.end(), [&](const NamedEnd &named) {
+    const auto *found = std::find_if(NamedOutcomes.begin(), NamedOutcomes.end(), [&](const NamedOutcome &named) {
         return named.outcome == outcome;
     });
-    assert(found != NamedEnds.end());
+    assert(found != NamedOutcomes.end());
     return found->name;
 }
 
 std::optional<AttemptOutcome> attemptOutcomeFromText(std::string_view text)
 {
-    const auto *found = std::find_if(NamedEnds.begin(), NamedEnds.end(), [&](const NamedEnd &named) {
+    const auto *found = std::find_if(NamedOutcomes.begin(), NamedOutcomes.end(), [&](const NamedOutcome &named) {
         return named.name == text;
     });
-    if (found == NamedEnds.end()) {
+    if (found == NamedOutcomes.end()) {
         return std::nullopt;
     }
     return found->outcome;
--- a/src/agent/BodyQueue.cpp
+++ b/src/agent/BodyQueue.cpp
@@ -9,7 +9,7 @@
 using std::chrono::nanoseconds;
 
 /** Weight of a new sample in the smoothed rate: one in eight. */
-constexpr double SampleShare = 0.125;
+constexpr double SampleWeight = 0.125;
 
 std::size_t bytesOnLink(const BodyQueue &queue)
 {
@@ -29,12 +29,12 @@
     return bytes;
 }
 
-void learnRate(BodyQueue &queue, std::size_t bytes, nanoseconds interval)
+void updateRate(BodyQueue &queue, std::size_t bytes, nanoseconds interval)
 {
     const bool first = queue.meanInterval.count() == 0;
-    const double share = first ? 1 : SampleShare;
-    queue.meanBytes += share * (static_cast<double>(bytes) - queue.meanBytes);
-    const double change = share * static_cast<double>((interval - queue.meanInterval).count());
+    const double weight = first ? 1 : SampleWeight;
+    queue.meanBytes += weight * (static_cast<double>(bytes) - queue.meanBytes);
+    const double change = weight * static_cast<double>((interval - queue.meanInterval).count());
     queue.meanInterval += nanoseconds(static_cast<nanoseconds::rep>(change));
 }
 
@@ -51,7 +51,7 @@
     return now + transferTime(queue, ahead + body.bytes) > body.receiveDeadline;
 }
 
-void forgetStalled(BodyQueue &queue, BootTime now)
+void removeStalled(BodyQueue &queue, BootTime now)
 {
     std::erase_if(queue.receiving, [now](const auto &entry) {
         return now - entry.second.begunAt > MaxTransferTime;
@@ -71,8 +71,8 @@
 
 Admission requestAdmission(BodyQueue &queue, const AnnouncedBody &body, BootTime now)
 {
-    forgetStalled(queue, now);
-    // A free link takes a body whatever the rate that was learnt: only transfers can correct it.
+    removeStalled(queue, now);
+    // An idle link admits a body at any measured rate, since a wrong rate is only corrected by further transfers.
     if (queue.receiving.empty()) {
         begin(queue, body, now);
         return Admission::Admitted;
@@ -98,7 +98,7 @@
         return {};
     }
     if (whole) {
-        learnRate(queue, found->second.bytes, now - queue.lastEndAt);
+        updateRate(queue, found->second.bytes, now - queue.lastEndAt);
         queue.lastEndAt = now;
     }
     queue.receiving.erase(found);
@@ -107,22 +107,22 @@
 
 BodyDecisions processQueue(BodyQueue &queue, BootTime now)
 {
-    BodyDecisions moves;
-    forgetStalled(queue, now);
+    BodyDecisions decisions;
+    removeStalled(queue, now);
     while (!queue.waiting.empty() && queue.receiving.size() < MaxBodiesReceiving) {
         const AnnouncedBody next = queue.waiting.front();
         queue.waiting.pop_front();
-        // Bodies on the link share its rate, so that this one takes as long as if it waited for them.
+        // Bodies in transfer share the link's rate, so this one takes as long as if it waited for the others.
         const bool late =
             queue.receiving.empty() ? now >= next.receiveDeadline : isLate(queue, next, bytesOnLink(queue), now);
         if (late) {
-            moves.refused.push_back(next.id);
+            decisions.refused.push_back(next.id);
             continue;
         }
         begin(queue, next, now);
-        moves.admitted.push_back(next.id);
+        decisions.admitted.push_back(next.id);
     }
-    return moves;
+    return decisions;
 }
 
 } // namespace bergamotweir::agent
--- a/src/agent/CrashTracker.cpp
+++ b/src/agent/CrashTracker.cpp
@@ -12,7 +12,7 @@
 {
     const std::array<std::string_view, 5> parts{
         content.service, content.key, content.method, content.target, content.body};
-    // Each part's hash seeds the next one's, so that text can't move from one part to its neighbour unseen.
+    // The hash of each part seeds the next one, so that the same text split differently into parts hashes differently.
     std::uint64_t hash = 0;
     for (const std::string_view part : parts) {
         hash = XXH3_64bits_withSeed(part.data(), part.size(), hash + part.size());
@@ -24,7 +24,7 @@
 {
     forget(recent, value);
     recent.order.push_back(value);
-    recent.places[value] = std::prev(recent.order.end());
+    recent.positions[value] = std::prev(recent.order.end());
     if (recent.order.size() > recent.capacity) {
         forget(recent, recent.order.front());
     }
@@ -32,17 +32,17 @@
 
 void forget(RecentFingerprints &recent, std::uint64_t value)
 {
-    const auto found = recent.places.find(value);
-    if (found == recent.places.end()) {
+    const auto found = recent.positions.find(value);
+    if (found == recent.positions.end()) {
         return;
     }
     recent.order.erase(found->second);
-    recent.places.erase(found);
+    recent.positions.erase(found);
 }
 
 bool contains(const RecentFingerprints &recent, std::uint64_t value)
 {
-    return recent.places.contains(value);
+    return recent.positions.contains(value);
 }
 
 void markSuspect(CrashTracker &tracker, std::uint64_t value)
--- a/src/agent/Gate.cpp
+++ b/src/agent/Gate.cpp
@@ -10,10 +10,10 @@
 
 using std::chrono::nanoseconds;
 
-/** Weight of a new sample in the smoothed service time: one in eight. */
-constexpr int ServiceTimeShare = 8;
-/** Step beyond a request's last moment at which the gate looks again. */
-constexpr std::chrono::microseconds PastLastMoment{100};
+/** Divisor of a new sample in the smoothed service time: its weight is one eighth. */
+constexpr int ServiceTimeDivisor = 8;
+/** Time after a request's dispatch deadline at which the gate processes its queue again. */
+constexpr std::chrono::microseconds ExpiryMargin{100};
 
 unsigned allowedNow(const Gate &gate)
 {
@@ -21,13 +21,13 @@
     return std::min(limit, gate.settings.connections);
 }
 
-/** @return whether a request can be given a connection now, open or new */
+/** @return whether a connection is available for a request now, idle or new */
 bool hasConnection(const Gate &gate, BootTime now)
 {
     return gate.idleConnections > 0 || now >= gate.nextConnection;
 }
 
-/** Guard against a connection storm: a connection costs the upstream a millisecond, so new ones are spaced out. */
+/** Guards against connection storms: a connection costs the upstream a millisecond, so new ones are spaced out. */
 void takeConnection(Gate &gate, BootTime now)
 {
     if (gate.idleConnections > 0) {
@@ -37,7 +37,7 @@
     gate.nextConnection = now + gate.settings.minConnectionInterval;
 }
 
-/** @return time between two requests to a cold upstream; 0 while it is warm or nothing is known */
+/** @return the interval between requests to a cold upstream; 0 while it is warm or its maximum rate isn't known */
 nanoseconds coldInterval(const Gate &gate, BootTime now)
 {
     if (now >= gate.coldUntil || gate.settings.maxColdRate <= 0) {
@@ -52,7 +52,7 @@
     return coldInterval(gate, now).count() > 0 && now < gate.nextColdDispatchAt;
 }
 
-bool mayDispatch(const Gate &gate, BootTime now)
+bool canDispatch(const Gate &gate, BootTime now)
 {
     return gate.inProgress < allowedNow(gate) && !isPaced(gate, now) && hasConnection(gate, now);
 }
@@ -65,13 +65,13 @@
     gate.inProgress++;
 }
 
-Admission shedding(const Gate &gate)
+Admission shedReason(const Gate &gate)
 {
     const bool atTableLimit = gate.settings.ceilingIsTableLimit && gate.inProgress >= gate.settings.ceiling;
     return atTableLimit ? Admission::OverLimit : Admission::Overloaded;
 }
 
-/** @return the time that a request arriving now would wait for its turn at a cold upstream */
+/** @return the time that a request arriving now would wait for its dispatch to a cold upstream */
 nanoseconds expectedColdWait(const Gate &gate, std::size_t ahead, BootTime now)
 {
     const nanoseconds interval = coldInterval(gate, now);
@@ -82,28 +82,28 @@
            + interval * static_cast<nanoseconds::rep>(ahead);
 }
 
-/** @return when processQueue() finds that a waiting request waits for too long */
-BootTime lastMoment(const Ticket &waiting)
+/** @return when processQueue() will shed a waiting request because of its dispatch deadline */
+BootTime expiresAt(const Ticket &waiting)
 {
     return waiting.queuePriority.dispatchDeadline == BootTime::max()
                ? BootTime::max()
-               : waiting.queuePriority.dispatchDeadline + PastLastMoment;
+               : waiting.queuePriority.dispatchDeadline + ExpiryMargin;
 }
 
-/** @return whether a request would still have time for its work after so long a wait */
+/** @return whether a request dispatched at @p dispatchedAt is expected to end before its deadline */
 bool isInTime(const Gate &gate, BootTime deadline, BootTime dispatchedAt)
 {
     return dispatchedAt + gate.serviceTime < deadline;
 }
 
-/** @return how many waiting requests go before it */
-std::size_t placeOf(const Gate &gate, const Ticket &ticket)
+/** @return the number of waiting requests that are served before it */
+std::size_t queuePosition(const Gate &gate, const Ticket &ticket)
 {
-    const auto place =
+    const auto position =
         std::upper_bound(gate.queue.begin(), gate.queue.end(), ticket, [](const Ticket &one, const Ticket &other) {
             return hasPriorityOver(one.queuePriority, other.queuePriority);
         });
-    return static_cast<std::size_t>(place - gate.queue.begin());
+    return static_cast<std::size_t>(position - gate.queue.begin());
 }
 
 bool isFull(const Gate &gate)
@@ -157,14 +157,14 @@
 
 Admission previewAdmission(const Gate &gate, const Ticket &ticket, BootTime now)
 {
-    if (gate.queue.empty() && mayDispatch(gate, now)) {
+    if (gate.queue.empty() && canDispatch(gate, now)) {
         return Admission::Admitted;
     }
-    const std::size_t ahead = placeOf(gate, ticket);
+    const std::size_t ahead = queuePosition(gate, ticket);
     const nanoseconds wait = std::max(expectedWait(gate, ahead), expectedColdWait(gate, ahead, now));
     if ((isFull(gate) && ahead == gate.queue.size()) || wait > gate.settings.maxWait
         || now + wait > ticket.queuePriority.dispatchDeadline || !isInTime(gate, ticket.deadline, now + wait)) {
-        return shedding(gate);
+        return shedReason(gate);
     }
     return Admission::Queued;
 }
@@ -177,7 +177,7 @@
     }
     if (admission == Admission::Queued) {
         const bool full = isFull(gate);
-        gate.queue.insert(gate.queue.begin() + static_cast<std::ptrdiff_t>(placeOf(gate, ticket)), ticket);
+        gate.queue.insert(gate.queue.begin() + static_cast<std::ptrdiff_t>(queuePosition(gate, ticket)), ticket);
         if (full) {
             gate.displaced.push_back(gate.queue.back().id);
             gate.queue.pop_back();
@@ -206,7 +206,7 @@
     switch (outcome) {
     case WorkOutcome::Answered:
         gate.idleConnections = std::min(gate.idleConnections + 1, gate.settings.connections);
-        gate.serviceTime += (latency - gate.serviceTime) / (gate.serviceTime.count() == 0 ? 1 : ServiceTimeShare);
+        gate.serviceTime += (latency - gate.serviceTime) / (gate.serviceTime.count() == 0 ? 1 : ServiceTimeDivisor);
         recordAnswer(gate.limit, latency, inProgress, now);
         break;
     case WorkOutcome::Shed:
@@ -223,30 +223,30 @@
 
 GateDecisions processQueue(Gate &gate, BootTime now)
 {
-    GateDecisions moves;
-    moves.shed = std::exchange(gate.displaced, {});
+    GateDecisions decisions;
+    decisions.shed = std::exchange(gate.displaced, {});
     std::erase_if(gate.queue, [&](const Ticket &waiting) {
         const bool late = now > waiting.queuePriority.dispatchDeadline;
         if (late) {
-            moves.shed.push_back(waiting.id);
+            decisions.shed.push_back(waiting.id);
         }
         return late;
     });
     while (!gate.queue.empty()) {
         const Ticket &first = gate.queue.front();
         if (!isInTime(gate, first.deadline, now)) {
-            moves.shed.push_back(first.id);
+            decisions.shed.push_back(first.id);
             gate.queue.pop_front();
             continue;
         }
-        if (!mayDispatch(gate, now)) {
+        if (!canDispatch(gate, now)) {
             break;
         }
         dispatch(gate, now);
-        moves.admitted.push_back(first.id);
+        decisions.admitted.push_back(first.id);
         gate.queue.pop_front();
     }
-    return moves;
+    return decisions;
 }
 
 std::vector<TicketId> removeAllQueued(Gate &gate)
@@ -266,16 +266,16 @@
     }
     BootTime expiry = gate.displaced.empty() ? BootTime::max() : BootTime();
     for (const Ticket &waiting : gate.queue) {
-        // Just past its last moment, when processQueue() no longer finds it in time.
-        expiry = std::min({expiry, waiting.deadline - gate.serviceTime, lastMoment(waiting)});
+        // The time from which on processQueue() sheds the request.
+        expiry = std::min({expiry, waiting.deadline - gate.serviceTime, expiresAt(waiting)});
     }
     if (gate.inProgress >= allowedNow(gate)) {
         return expiry;
     }
     const BootTime connection = gate.idleConnections > 0 ? BootTime() : gate.nextConnection;
-    const BootTime turn =
+    const BootTime coldDispatchAt =
         gate.settings.maxColdRate > 0 ? std::min(gate.nextColdDispatchAt, gate.coldUntil) : BootTime();
-    return std::min(expiry, std::max(connection, turn));
+    return std::min(expiry, std::max(connection, coldDispatchAt));
 }
 
 std::chrono::nanoseconds expectedWait(const Gate &gate, std::size_t ahead)
--- a/src/agent/GateSettings.cpp
+++ b/src/agent/GateSettings.cpp
@@ -54,16 +54,16 @@
 {
     Findings findings;
     if (this->settings.ceiling == 0) {
-        findings.push_back({"gate ceiling", "0 lets nothing through", "at least 1"});
+        findings.push_back({"gate ceiling", "0 admits no request", "at least 1"});
     }
     if (this->settings.connections == 0) {
-        findings.push_back({"gate connections", "0 lets nothing through", "at least 1"});
+        findings.push_back({"gate connections", "0 admits no request", "at least 1"});
     }
     if (this->settings.minConnectionInterval.count() < 0) {
-        findings.push_back({"gate connection pace", "negative", "0 or more microseconds"});
+        findings.push_back({"gate minimum connection interval", "negative", "0 or more microseconds"});
     }
     if (this->settings.maxWait.count() < 0) {
-        findings.push_back({"gate longest wait", "negative", "0 or more milliseconds"});
+        findings.push_back({"gate maximum wait", "negative", "0 or more milliseconds"});
     }
     if (!findings.empty()) {
         return findings;
--- a/src/agent/GrantOrders.cpp
+++ b/src/agent/GrantOrders.cpp
@@ -28,7 +28,7 @@
     return outer.first <= inner.first && inner.last <= outer.last && outer.epoch == inner.epoch;
 }
 
-/** @return whether an order on any of the range's keys is under way */
+/** @return whether an order for any of the range's keys is in flight */
 bool isBusy(const GrantOrders &orders, const HeldRange &range)
 {
     return std::any_of(orders.open.begin(), orders.open.end(), [&](const GrantOrder &order) {
@@ -51,8 +51,8 @@
     return found == orders.holds.end() ? nullptr : &*found;
 }
 
-/** @return until when the range is surely held as a whole, by a grant of its own or of a wider range */
-BootTime surelyHeldUntil(const GrantOrders &orders, const HeldRange &range)
+/** @return until when the whole range is confirmed as held, by a grant of this range or of a wider one */
+BootTime confirmedHeldUntil(const GrantOrders &orders, const HeldRange &range)
 {
     BootTime until;
     for (const KeyHold &hold : orders.holds) {
@@ -63,11 +63,11 @@
     return until;
 }
 
-/** @return how long a grant sent now may hold; nothing when it isn't worth sending */
-milliseconds holdWithin(const GrantTimes &times, BootTime leaseUntil, BootTime now)
+/** @return the duration of a grant sent now, limited by the lease; 0 when it would be below the minimum */
+milliseconds grantDurationWithin(const GrantTimes &times, BootTime leaseUntil, BootTime now)
 {
-    const auto left = std::chrono::duration_cast<milliseconds>(leaseUntil - now) - times.grantTimeout;
-    const milliseconds hold = std::min(times.grantDuration, scaled(left, 1 / (1 + times.maxClockSlowdown)));
+    const auto remaining = std::chrono::duration_cast<milliseconds>(leaseUntil - now) - times.grantTimeout;
+    const milliseconds hold = std::min(times.grantDuration, scaled(remaining, 1 / (1 + times.maxClockSlowdown)));
     return hold < times.minGrantDuration ? milliseconds(0) : hold;
 }
 
@@ -78,13 +78,13 @@
     due.push_back(std::move(order));
 }
 
-void grantDue(
+void addGrantIfDue(
     GrantOrders &orders, const WantedKeys &wanted, milliseconds holdFor, BootTime now, std::vector<GrantOrder> &due)
 {
     KeyHold *hold = holdOf(orders, wanted.range);
     const bool isEarly = hold != nullptr && now < hold->nextOrderAt;
-    const bool lasts = surelyHeldUntil(orders, wanted.range) - now > orders.times.renewThreshold;
-    if (isEarly || lasts || isBusy(orders, wanted.range) || isOutdated(orders, wanted.range)) {
+    const bool isConfirmed = confirmedHeldUntil(orders, wanted.range) - now > orders.times.renewThreshold;
+    if (isEarly || isConfirmed || isBusy(orders, wanted.range) || isOutdated(orders, wanted.range)) {
         return;
     }
     if (hold == nullptr) {
@@ -102,7 +102,7 @@
     addOrder(orders, std::move(order), due);
 }
 
-void releaseDue(GrantOrders &orders, const HeldRange &unwanted, BootTime now, std::vector<GrantOrder> &due)
+void addReleaseIfDue(GrantOrders &orders, const HeldRange &unwanted, BootTime now, std::vector<GrantOrder> &due)
 {
     bool held = false;
     for (const KeyHold &hold : orders.holds) {
@@ -118,7 +118,7 @@
     }
 }
 
-void grantEnded(GrantOrders &orders, const GrantOrder &order, OrderOutcome outcome, BootTime now)
+void recordGrantOutcome(GrantOrders &orders, const GrantOrder &order, OrderOutcome outcome, BootTime now)
 {
     KeyHold *hold = holdOf(orders, order.range);
     if (outcome == OrderOutcome::Outdated) {
@@ -131,54 +131,57 @@
         hold->confirmedUntil = order.sentAt + order.holdFor;
         return;
     }
-    hold->nextOrderAt = now + orders.times.retryAfter;
+    hold->nextOrderAt = now + orders.times.retryDelay;
     if (outcome == OrderOutcome::Unknown) {
-        const milliseconds longest = scaled(order.holdFor, 1 + orders.times.maxClockSlowdown);
-        hold->unansweredUntil = std::max(hold->unansweredUntil, order.sentAt + orders.times.grantTimeout + longest);
+        const milliseconds maxHoldTime = scaled(order.holdFor, 1 + orders.times.maxClockSlowdown);
+        hold->unansweredUntil = std::max(hold->unansweredUntil, order.sentAt + orders.times.grantTimeout + maxHoldTime);
     }
 }
 
-/** Takes the keys of an answered release out of a hold; what unanswered grants may still do to them stays. */
-void cut(const KeyHold &hold, const HeldRange &freed, std::vector<KeyHold> &left)
+/**
+ * Removes the range of an answered release from a hold, and adds the parts of the hold that remain to @p remaining.
+ * The released part stays possibly held until all unanswered grants have expired.
+ */
+void removeReleased(const KeyHold &hold, const HeldRange &releasedRange, std::vector<KeyHold> &remaining)
 {
-    if (!overlap(hold.range, freed) || hold.range.epoch > freed.epoch) {
-        left.push_back(hold);
+    if (!overlap(hold.range, releasedRange) || hold.range.epoch > releasedRange.epoch) {
+        remaining.push_back(hold);
         return;
     }
-    if (hold.range.first < freed.first) {
+    if (hold.range.first < releasedRange.first) {
         KeyHold before = hold;
-        before.range.last = freed.first - 1;
-        left.push_back(before);
+        before.range.last = releasedRange.first - 1;
+        remaining.push_back(before);
     }
-    if (freed.last < hold.range.last) {
+    if (releasedRange.last < hold.range.last) {
         KeyHold after = hold;
-        after.range.first = freed.last + 1;
-        left.push_back(after);
+        after.range.first = releasedRange.last + 1;
+        remaining.push_back(after);
     }
     KeyHold within = hold;
-    within.range.first = std::max(hold.range.first, freed.first);
-    within.range.last = std::min(hold.range.last, freed.last);
+    within.range.first = std::max(hold.range.first, releasedRange.first);
+    within.range.last = std::min(hold.range.last, releasedRange.last);
     within.confirmedUntil = {};
     within.released = true;
     within.possiblyHeldUntil = hold.unansweredUntil;
-    left.push_back(within);
+    remaining.push_back(within);
 }
 
-void releaseEnded(GrantOrders &orders, const GrantOrder &order, OrderOutcome outcome, BootTime now)
+void recordReleaseOutcome(GrantOrders &orders, const GrantOrder &order, OrderOutcome outcome, BootTime now)
 {
     if (outcome != OrderOutcome::Done) {
         for (KeyHold &hold : orders.holds) {
             if (overlap(hold.range, order.range)) {
-                hold.nextOrderAt = now + orders.times.retryAfter;
+                hold.nextOrderAt = now + orders.times.retryDelay;
             }
         }
         return;
     }
-    std::vector<KeyHold> left;
+    std::vector<KeyHold> remaining;
     for (const KeyHold &hold : orders.holds) {
-        cut(hold, order.range, left);
+        removeReleased(hold, order.range, remaining);
     }
-    orders.holds = std::move(left);
+    orders.holds = std::move(remaining);
 }
 
 } // namespace
@@ -191,14 +194,14 @@
 {
     std::vector<GrantOrder> due;
     for (const HeldRange &range : unwanted) {
-        releaseDue(orders, range, now, due);
+        addReleaseIfDue(orders, range, now, due);
     }
-    const milliseconds holdFor = holdWithin(orders.times, leaseUntil, now);
+    const milliseconds holdFor = grantDurationWithin(orders.times, leaseUntil, now);
     if (holdFor.count() == 0) {
         return due;
     }
     for (const WantedKeys &keys : wanted) {
-        grantDue(orders, keys, holdFor, now, due);
+        addGrantIfDue(orders, keys, holdFor, now, due);
     }
     return due;
 }
@@ -214,9 +217,9 @@
     const GrantOrder order = *found;
     orders.open.erase(found);
     if (order.kind == OrderKind::Grant) {
-        grantEnded(orders, order, outcome, now);
+        recordGrantOutcome(orders, order, outcome, now);
     } else {
-        releaseEnded(orders, order, outcome, now);
+        recordReleaseOutcome(orders, order, outcome, now);
     }
 }
 
@@ -247,9 +250,9 @@
     BootTime next = BootTime::max();
     for (const KeyHold &hold : orders.holds) {
         const BootTime renewal = hold.confirmedUntil - orders.times.renewThreshold;
-        for (const BootTime moment : {hold.nextOrderAt, renewal, hold.confirmedUntil, hold.possiblyHeldUntil}) {
-            if (moment > now) {
-                next = std::min(next, moment);
+        for (const BootTime checkAt : {hold.nextOrderAt, renewal, hold.confirmedUntil, hold.possiblyHeldUntil}) {
+            if (checkAt > now) {
+                next = std::min(next, checkAt);
             }
         }
     }
--- a/src/agent/LimitShares.cpp
+++ b/src/agent/LimitShares.cpp
@@ -13,28 +13,29 @@
 using Seconds = std::chrono::duration<double>;
 
 constexpr milliseconds ReportInterval{1000};
-/** Minimum time between two renewals that are sent ahead of time for permits; doubled while none are handed out. */
-constexpr milliseconds ShortestAskInterval{100};
-constexpr milliseconds LongestAskInterval{800};
-/** Share of the last sample in the smoothed demand. */
+/** Minimum time between two renewals sent early to ask for permits; doubled after each one until permits are granted.
+ */
+constexpr milliseconds MinAskInterval{100};
+constexpr milliseconds MaxAskInterval{800};
+/** Weight of the last sample in the smoothed demand. */
 constexpr double SampleWeight = 0.15;
-/** Requests a second below which a workspace counts as unused here. */
-constexpr double LeastDemand = 0.05;
-/** A demand is reported again when it differs from the report by this part, and by LeastChange at least. */
-constexpr double ReportedChange = 0.2;
-constexpr double LeastChange = 0.3;
-/** Clocks of agents may run so much too fast. */
+/** Requests per second below which a workspace counts as unused here. */
+constexpr double MinDemand = 0.05;
+/** Demand is reported again when it has changed by this fraction of the last report and by MinAbsoluteChange. */
+constexpr double MinRelativeChange = 0.2;
+constexpr double MinAbsoluteChange = 0.3;
+/** Factor by which an agent's clock may run too fast. */
 constexpr double ClockMargin = 1.02;
-/** Fractions that are whole numbers but for rounding. */
-constexpr double Rounding = 1e-6;
-/** Time in which a permit arrives, the interval of asking included. */
-constexpr milliseconds PermitTime{150};
-constexpr milliseconds LongestRetryAfter{2000};
-/** Permits asked for at once for one workspace. */
-constexpr unsigned MostWanted = 64;
-
-/** Drops the shares once their lease has ended; control is told with the next report. */
-void dropEndedShares(LimitShares &shares, BootTime now)
+/** Added before rounding down, so that rounding errors of the share don't cost a request. */
+constexpr double RoundingTolerance = 1e-6;
+/** Time until a requested permit arrives, including the interval between two requests for permits. */
+constexpr milliseconds PermitDelay{150};
+constexpr milliseconds MaxRetryAfter{2000};
+/** Maximum number of permits requested at once for one workspace. */
+constexpr unsigned MaxPermitsWanted = 64;
+
+/** Drops the shares once their lease has expired; the next report informs control. */
+void removeExpiredShares(LimitShares &shares, BootTime now)
 {
     if (now < shares.validUntil) {
         return;
@@ -45,13 +46,13 @@
     }
 }
 
-/** @return seconds since the last sample, 1 at least */
+/** @return seconds since the last sample, at least 1 */
 double secondsSinceSample(const LimitShares &shares, BootTime now)
 {
     return shares.sampledAt == BootTime() ? 1 : std::max(1.0, Seconds(now - shares.sampledAt).count());
 }
 
-void dropOld(LimitShare &share, const table::LimitBounds &bounds, BootTime now)
+void removeExpired(LimitShare &share, const table::LimitBounds &bounds, BootTime now)
 {
     const auto window = std::chrono::duration_cast<BootClock::duration>(ClockMargin * Seconds(bounds.window));
     while (!share.used.empty() && share.used.front() + window <= now) {
@@ -62,14 +63,14 @@
     }
 }
 
-/** @return how long callers that are refused now should wait */
+/** @return the retry-after for callers that are refused now */
 milliseconds retryAfter(const LimitShare &share, const table::LimitBounds &bounds, BootTime now)
 {
-    if (share.wanted <= MostWanted || share.used.empty()) {
-        return PermitTime;
+    if (share.permitsWanted <= MaxPermitsWanted || share.used.empty()) {
+        return PermitDelay;
     }
     const auto wait = std::chrono::duration_cast<milliseconds>(share.used.front() + bounds.window - now);
-    return std::clamp(wait, PermitTime, LongestRetryAfter);
+    return std::clamp(wait, PermitDelay, MaxRetryAfter);
 }
 
 /** Ends a sample. */
@@ -78,7 +79,7 @@
     const double sample = share.offered / seconds;
     share.demand += SampleWeight * (sample - share.demand);
     share.offered = 0;
-    if (share.demand < LeastDemand) {
+    if (share.demand < MinDemand) {
         share.demand = 0;
     }
 }
@@ -87,10 +88,10 @@
 {
     const double change = std::abs(share.demand - share.reported);
     return share.reported < 0 || (share.demand == 0 && share.reported > 0)
-           || change > std::max(LeastChange, ReportedChange * share.reported);
+           || change > std::max(MinAbsoluteChange, MinRelativeChange * share.reported);
 }
 
-bool isForgotten(const LimitShare &share)
+bool isUnused(const LimitShare &share)
 {
     return share.share <= 0 && share.demand <= 0 && share.offered <= 0 && share.reported <= 0 && share.used.empty()
            && share.permits.empty();
@@ -110,29 +111,29 @@
     }
     LimitShare &share = shares.workspaces[workspace.name];
     share.offered += 1;
-    dropEndedShares(shares, now);
-    dropOld(share, shares.bounds, now);
-    const bool maySpend = now >= shares.startedAt + shares.bounds.window;
-    const double maxTokens =
-        maySpend ? std::floor(share.share * table::maxInWindow(workspace, shares.bounds) + Rounding) : 0;
+    removeExpiredShares(shares, now);
+    removeExpired(share, shares.bounds, now);
+    const bool canUseShare = now >= shares.startedAt + shares.bounds.window;
+    const double maxByShare =
+        canUseShare ? std::floor(share.share * table::maxInWindow(workspace, shares.bounds) + RoundingTolerance) : 0;
     LimitDecision decision;
-    if (static_cast<double>(share.used.size()) < maxTokens) {
+    if (static_cast<double>(share.used.size()) < maxByShare) {
         share.used.push_back(now);
-        share.wantsExtraPermit = static_cast<double>(share.used.size()) >= maxTokens && share.permits.empty();
+        share.wantsExtraPermit = static_cast<double>(share.used.size()) >= maxByShare && share.permits.empty();
     } else if (!share.permits.empty()) {
         share.permits.pop_front();
         share.wantsExtraPermit = share.permits.empty() && share.share > 0;
         decision.verdict = LimitVerdict::Permitted;
     } else {
-        ++share.wanted;
+        ++share.permitsWanted;
         decision.verdict = share.share <= 0 ? LimitVerdict::NoShare : LimitVerdict::OverLimit;
         decision.retryAfter = retryAfter(share, shares.bounds, now);
     }
     decision.shouldAskControl =
-        (share.wanted > 0 || share.wantsExtraPermit) && now - shares.askedAt >= shares.askInterval;
+        (share.permitsWanted > 0 || share.wantsExtraPermit) && now - shares.askedAt >= shares.askInterval;
     if (decision.shouldAskControl) {
         shares.askedAt = now;
-        shares.askInterval = std::min(2 * shares.askInterval, LongestAskInterval);
+        shares.askInterval = std::min(2 * shares.askInterval, MaxAskInterval);
     }
     return decision;
 }
@@ -153,7 +154,7 @@
 
 void reportDemand(LimitShares &shares, wire::Renew &renew, bool atOnce, BootTime now)
 {
-    dropEndedShares(shares, now);
+    removeExpiredShares(shares, now);
     renew.set_shares_applied(shares.appliedSequence);
     const bool due = now - shares.sampledAt >= ReportInterval;
     if (!due && !atOnce && !shares.reportAll) {
@@ -162,11 +163,12 @@
     renew.set_all_shares(shares.reportAll);
     const double seconds = secondsSinceSample(shares, now);
     for (auto &[name, share] : shares.workspaces) {
-        dropOld(share, shares.bounds, now);
+        removeExpired(share, shares.bounds, now);
         if (due) {
             recordDemand(share, seconds);
         }
-        if (!shares.reportAll && share.wanted == 0 && !share.wantsExtraPermit && !(due && isWorthReporting(share))) {
+        if (!shares.reportAll && share.permitsWanted == 0 && !share.wantsExtraPermit
+            && !(due && isWorthReporting(share))) {
             continue;
         }
         share.reported = std::max(share.demand, SampleWeight * share.offered / seconds);
@@ -174,13 +176,13 @@
         demand.set_workspace(name);
         demand.set_per_second(static_cast<float>(share.reported));
         demand.set_share(share.share);
-        demand.set_permits_wanted(std::min(share.wanted, MostWanted));
+        demand.set_permits_wanted(std::min(share.permitsWanted, MaxPermitsWanted));
         demand.set_permit_ahead(share.wantsExtraPermit);
-        share.wanted = 0;
+        share.permitsWanted = 0;
         share.wantsExtraPermit = false;
     }
     std::erase_if(shares.workspaces, [](const auto &entry) {
-        return isForgotten(entry.second);
+        return isUnused(entry.second);
     });
     shares.reportAll = false;
     if (due) {
@@ -193,7 +195,7 @@
     if (renewed.share_lease_ms() == 0) {
         return;
     }
-    dropEndedShares(shares, now);
+    removeExpiredShares(shares, now);
     shares.validUntil = std::max(shares.validUntil, sentAt + milliseconds(renewed.share_lease_ms()));
     shares.appliedSequence = renewed.sequence();
     for (const wire::WorkspaceShare &granted : renewed.shares()) {
@@ -204,7 +206,7 @@
         const BootTime until = sentAt + milliseconds(renewed.permit_ms());
         share.permits.insert(share.permits.end(), granted.permits(), until);
         if (granted.permits() > 0) {
-            shares.askInterval = ShortestAskInterval;
+            shares.askInterval = MinAskInterval;
         }
     }
 }
--- a/src/agent/LoadSketch.cpp
+++ b/src/agent/LoadSketch.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-void watchKey(std::vector<TrackedKey> &keys, std::uint64_t hash)
+void trackKey(std::vector<TrackedKey> &keys, std::uint64_t hash)
 {
     const auto known = std::find_if(keys.begin(), keys.end(), [hash](const TrackedKey &key) {
         return key.hash == hash;
@@ -32,11 +32,11 @@
     return load == sketch.services.end() ? sketch.services.emplace(service, ServiceLoad{}).first->second : load->second;
 }
 
-void tellWork(const std::string &service,
-              const ServiceLoad &load,
-              const RouteMap &map,
-              const Ownership &ownership,
-              wire::Renew &renew)
+void reportWork(const std::string &service,
+                const ServiceLoad &load,
+                const RouteMap &map,
+                const Ownership &ownership,
+                wire::Renew &renew)
 {
     if (load.answers == 0) {
         return;
@@ -46,11 +46,11 @@
         if (known == nullptr || known->service() != service || !known->serving()) {
             continue;
         }
-        wire::UpstreamWork &told = *renew.add_work();
-        told.set_service(service);
-        told.set_upstream(own);
-        told.set_mean_seconds(std::chrono::duration<float>(load.worked).count() / static_cast<float>(load.answers));
-        told.set_answers(load.answers);
+        wire::UpstreamWork &entry = *renew.add_work();
+        entry.set_service(service);
+        entry.set_upstream(own);
+        entry.set_mean_seconds(std::chrono::duration<float>(load.worked).count() / static_cast<float>(load.answers));
+        entry.set_answers(load.answers);
     }
 }
 
@@ -59,39 +59,39 @@
     return static_cast<float>(static_cast<double>(count) / seconds);
 }
 
-void tellSlices(const std::string &service,
-                const std::vector<Slice> &slices,
-                const ServiceLoad &load,
-                const Ownership &ownership,
-                double seconds,
-                wire::Renew &renew)
+void reportSlices(const std::string &service,
+                  const std::vector<Slice> &slices,
+                  const ServiceLoad &load,
+                  const Ownership &ownership,
+                  double seconds,
+                  wire::Renew &renew)
 {
     for (const Slice &slice : slices) {
         if (!ownership.ownUpstreams.contains(slice.owner)) {
             continue;
         }
         const auto count = load.slices.find(slice.begin);
-        wire::SliceLoad &told = *renew.add_loads();
-        told.set_service(service);
-        told.set_begin(slice.begin);
-        told.set_rate(count == load.slices.end() ? 0 : perSecond(count->second, seconds));
+        wire::SliceLoad &entry = *renew.add_loads();
+        entry.set_service(service);
+        entry.set_begin(slice.begin);
+        entry.set_rate(count == load.slices.end() ? 0 : perSecond(count->second, seconds));
     }
 }
 
-void tellKeys(const std::string &service, ServiceLoad &load, double seconds, wire::Renew &renew)
+void reportHotKeys(const std::string &service, ServiceLoad &load, double seconds, wire::Renew &renew)
 {
-    const double least = LoadSketch::MinReportedShare * static_cast<double>(load.requests);
-    std::erase_if(load.keys, [least](const TrackedKey &key) {
-        return static_cast<double>(key.count - key.error) < least;
+    const double minCount = LoadSketch::MinReportedShare * static_cast<double>(load.requests);
+    std::erase_if(load.keys, [minCount](const TrackedKey &key) {
+        return static_cast<double>(key.count - key.error) < minCount;
     });
     std::sort(load.keys.begin(), load.keys.end(), [](const TrackedKey &left, const TrackedKey &right) {
         return left.count - left.error > right.count - right.error;
     });
     for (std::size_t number = 0; number < std::min(load.keys.size(), LoadSketch::MaxReportedKeys); ++number) {
-        wire::HotKey &told = *renew.add_hot_keys();
-        told.set_service(service);
-        told.set_hash(load.keys[number].hash);
-        told.set_rate(perSecond(load.keys[number].count - load.keys[number].error, seconds));
+        wire::HotKey &entry = *renew.add_hot_keys();
+        entry.set_service(service);
+        entry.set_hash(load.keys[number].hash);
+        entry.set_rate(perSecond(load.keys[number].count - load.keys[number].error, seconds));
     }
 }
 
@@ -106,7 +106,7 @@
     ServiceLoad &load = loadOf(sketch, service);
     ++load.requests;
     ++load.slices[slice->begin];
-    watchKey(load.keys, hash);
+    trackKey(load.keys, hash);
 }
 
 void countAnswer(LoadSketch &sketch, std::string_view service, std::chrono::nanoseconds worked)
@@ -124,9 +124,9 @@
     }
     for (const auto &[service, slices] : map.slices) {
         ServiceLoad &load = sketch.services[service];
-        tellSlices(service, slices, load, ownership, seconds, renew);
-        tellKeys(service, load, seconds, renew);
-        tellWork(service, load, map, ownership, renew);
+        reportSlices(service, slices, load, ownership, seconds, renew);
+        reportHotKeys(service, load, seconds, renew);
+        reportWork(service, load, map, ownership, renew);
     }
     sketch.services.clear();
     sketch.since = now;
--- a/src/agent/Ownership.cpp
+++ b/src/agent/Ownership.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-void addTo(wire::Released &released, const Ownership &ownership, const SliceKey &key)
+void addReleased(wire::Released &released, const Ownership &ownership, const SliceKey &key)
 {
     wire::SliceRef *slice = released.add_slices();
     slice->set_service(key.service);
@@ -24,8 +24,8 @@
 /** @return whether the upstream may still hold a key of the slice under its epoch or an older one */
 bool isHeld(const Ownership &ownership, const RouteMap &map, const SliceKey &key)
 {
-    const bool unheard = !ownership.predecessorGrantsExpired && !ownership.servicesReported.contains(key.service);
-    if (ownership.upstreamsHoldGrants && unheard) {
+    const bool isUnreported = !ownership.predecessorGrantsExpired && !ownership.servicesReported.contains(key.service);
+    if (ownership.upstreamsHoldGrants && isUnreported) {
         return true;
     }
     const auto held = ownership.held.find(key.service);
@@ -40,21 +40,21 @@
     });
 }
 
-/** @return whether a revoked slice may get new work: its upstream holds it and hasn't been told to give it up */
-bool servesUntilGivenUp(const Ownership &ownership, const SliceKey &key)
+/** @return whether a revoked slice may get new work: its upstream holds it and the revoke has not been sent to it */
+bool isServedUntilRevokeSent(const Ownership &ownership, const SliceKey &key)
 {
     return ownership.upstreamsHoldGrants && !ownership.revokesSent.contains(key);
 }
 
-/** @return whether the map still gives this very slice and epoch to one of the agent's upstreams */
-bool isStillGiven(const Ownership &ownership, const RouteMap &map, const SliceKey &key)
+/** @return whether the map still assigns this slice, under this epoch, to one of the agent's upstreams */
+bool isStillAssigned(const Ownership &ownership, const RouteMap &map, const SliceKey &key)
 {
     const std::optional<Slice> slice = findSlice(map, key.service, key.begin);
     return slice && slice->begin == key.begin && slice->epoch == key.epoch
            && ownership.ownUpstreams.contains(slice->owner);
 }
 
-/** @return whether work still runs on a key of the slice, which ends where the map's next slice begins */
+/** @return whether work is in progress on a key of the slice, which ends where the map's next slice begins */
 bool hasWork(const Ownership &ownership, const RouteMap &map, const SliceKey &key)
 {
     const auto work = ownership.work.find(key.service);
@@ -95,8 +95,8 @@
         return OwnershipRefusal::NotOwner;
     }
     const SliceKey key{std::string(service), found->begin, found->epoch};
-    const bool leaving = ownership.revoked.contains(key) && !servesUntilGivenUp(ownership, key);
-    if (leaving || ownership.released.contains(key)) {
+    const bool refusesNewWork = ownership.revoked.contains(key) && !isServedUntilRevokeSent(ownership, key);
+    if (refusesNewWork || ownership.released.contains(key)) {
         return OwnershipRefusal::Moving;
     }
     if (ownership.upstreamsHoldGrants) {
@@ -174,7 +174,7 @@
             ++next;
             continue;
         }
-        addTo(released, ownership, *next);
+        addReleased(released, ownership, *next);
         ownership.revokesSent.erase(*next);
         ownership.released.insert(*next);
         next = ownership.revoked.erase(next);
@@ -186,11 +186,11 @@
 {
     wire::Released released;
     for (auto next = ownership.released.begin(); next != ownership.released.end();) {
-        if (!isStillGiven(ownership, map, *next)) {
+        if (!isStillAssigned(ownership, map, *next)) {
             next = ownership.released.erase(next);
             continue;
         }
-        addTo(released, ownership, *next);
+        addReleased(released, ownership, *next);
         ++next;
     }
     return released;
--- a/src/agent/QueuePriority.cpp
+++ b/src/agent/QueuePriority.cpp
@@ -9,17 +9,17 @@
 
 using std::chrono::milliseconds;
 
-/** Part of the timeout that a request waits at most: answers to those that start later miss their target anyway. */
-constexpr double StartShare = 0.1;
+/** Fraction of the time-out that a request may wait: requests dispatched later would miss their target anyway. */
+constexpr double DispatchWaitShare = 0.1;
 /**
- * Part of the target that a request waits for the next owner of its key. A move takes a release, a commit and a grant:
- * who waits for it is answered within the target, who is sent away comes back too late for that.
+ * Fraction of the target latency that a request waits for the next owner of its key. A move takes a release, a commit
+ * and a grant: a request that waits for it is answered within the target, while a refused caller's retry is too late.
  */
-constexpr double OwnerShare = 0.5;
-/** Shorter waits than the time between two free slots refuse what would be served at once. */
-constexpr milliseconds ShortestWait{100};
+constexpr double OwnerWaitShare = 0.5;
+/** Minimum wait. Waits shorter than the time between two free slots would refuse requests that are served shortly. */
+constexpr milliseconds MinWait{100};
 
-milliseconds part(milliseconds whole, double share)
+milliseconds scaled(milliseconds whole, double share)
 {
     return milliseconds(static_cast<milliseconds::rep>(static_cast<double>(whole.count()) * share));
 }
@@ -31,8 +31,8 @@
     return {
         .priority = targets.priority,
         .targetDeadline = acceptedAt + targets.targetLatency,
-        .dispatchDeadline = acceptedAt + std::max(part(targets.timeout, StartShare), ShortestWait),
-        .ownerWaitDeadline = acceptedAt + std::max(part(targets.targetLatency, OwnerShare), ShortestWait),
+        .dispatchDeadline = acceptedAt + std::max(scaled(targets.timeout, DispatchWaitShare), MinWait),
+        .ownerWaitDeadline = acceptedAt + std::max(scaled(targets.targetLatency, OwnerWaitShare), MinWait),
     };
 }
 
--- a/src/agent/RequestStep.cpp
+++ b/src/agent/RequestStep.cpp
@@ -13,18 +13,18 @@
 
 using Actions = std::vector<RequestAction>;
 
-void raise(Ran &ran, Ran other)
+void raiseTo(Ran &ran, Ran other)
 {
     ran = std::max(ran, other);
 }
 
-/** @return what can be said if the request were given up now: a live attempt that was handed on may run */
+/** @return whether the request may have run if it is given up now; a live attempt that was sent may still run */
 Ran ranIfGivenUp(const RequestState &state)
 {
     Ran ran = state.ran;
     for (const Attempt &attempt : state.live) {
         if (attempt.stage != AttemptStage::Queued) {
-            raise(ran, Ran::Unknown);
+            raiseTo(ran, Ran::Unknown);
         }
     }
     return ran;
@@ -64,16 +64,16 @@
     }
 }
 
-bool helpsToComeBack(int status)
+bool isRetryable(int status)
 {
     return status == 429 || status == 503;
 }
 
-/** Ends the request with a problem; the answer goes out before the claim's outcome. */
+/** Ends the request with a problem; the answer is sent before the claim's outcome. */
 void refuse(RequestState &state, RefusalDetails refusal, Actions &actions)
 {
     refusal.ran = ranIfGivenUp(state);
-    refusal.retryAfter = helpsToComeBack(refusal.status);
+    refusal.retryAfter = isRetryable(refusal.status);
     cancelLive(state, actions);
     state.stage = Stage::Ended;
     state.ran = refusal.ran;
@@ -94,26 +94,27 @@
     actions.push_back({.kind = ActionKind::Route});
 }
 
-/** Holds the request for a jittered pause: requests that were refused together don't come back together. */
+/** Holds the request for a jittered delay, so that requests refused at the same time don't retry at the same time. */
 void wait(RequestState &state, BootTime now, const RequestContext &context, Actions &actions)
 {
     const auto spread = static_cast<std::uint32_t>((MaxPause - MinPause).count());
-    const std::chrono::milliseconds pause = MinPause + std::chrono::milliseconds((*context.random)(spread));
-    const bool ownerChanges = state.facts.keyed && state.lastOutcome == AttemptOutcome::NotOwner;
-    const BootTime latest =
-        ownerChanges ? state.facts.queuePriority.ownerWaitDeadline : state.facts.queuePriority.dispatchDeadline;
-    if (now + pause >= std::min(state.facts.deadline, latest)) {
+    const std::chrono::milliseconds backoff = MinPause + std::chrono::milliseconds((*context.random)(spread));
+    const bool isOwnerChanging = state.facts.keyed && state.lastOutcome == AttemptOutcome::NotOwner;
+    const BootTime waitDeadline =
+        isOwnerChanging ? state.facts.queuePriority.ownerWaitDeadline : state.facts.queuePriority.dispatchDeadline;
+    if (now + backoff >= std::min(state.facts.deadline, waitDeadline)) {
         refuseAttempt(state, actions);
         return;
     }
     state.stage = Stage::Waiting;
-    actions.push_back({.kind = ActionKind::Wait, .delay = pause});
+    actions.push_back({.kind = ActionKind::Wait, .delay = backoff});
 }
 
 void start(RequestState &state, const RequestContext &context, Actions &actions)
 {
-    // Guards against a budget that one request pays into twice. It shows as more second sends than the ratio allows:
-    // the agent that a request is forwarded to never sends it again, and would save up for its own callers' requests.
+    // Guards against a request that counts in the budgets of two agents, which would allow more second sends than the
+    // ratio: the agent that receives a forwarded request never sends it again, and would save the tokens for the
+    // requests of its own callers.
     if (!state.facts.forwarded) {
         deposit(*context.retries);
         deposit(*context.hedges);
@@ -122,7 +123,7 @@
         route(state, actions);
         return;
     }
-    // An earlier send under the same id may have run; only a granted claim says that none did.
+    // An earlier send under the same id may have run; only a granted claim shows that none has.
     state.ran = Ran::Unknown;
     state.stage = Stage::Claiming;
     actions.push_back({.kind = ActionKind::Claim});
@@ -173,8 +174,9 @@
     }
 }
 
-/** Only reads of unkeyed services, where another upstream can answer as well, and once. */
-bool mayHedge(const RequestState &state)
+/** @return whether the request may be hedged: only reads of unkeyed services, which any upstream can answer, and once
+ */
+bool isHedgeAllowed(const RequestState &state)
 {
     return !state.facts.keyed && !state.facts.forwarded && state.facts.canHedge && isRead(state.facts.method)
            && !state.hedged && state.tries < state.facts.maxTries;
@@ -189,12 +191,12 @@
             return;
         }
         if (state.facts.forwarded) {
-            // The agent that sent it waits; it knows of newer routes first.
+            // The agent that forwarded the request waits instead; it receives newer routes first.
             state.lastOutcome = AttemptOutcome::NotOwner;
             refuseAttempt(state, actions);
             return;
         }
-        // Nothing to route to now: a move, a loss being repaired, or every upstream tried. Not a try of its own.
+        // No upstream at present: a move, a lost upstream being replaced, or all upstreams tried. Not counted as a try.
         if (state.tries == 0) {
             state.lastOutcome = AttemptOutcome::NotOwner;
         }
@@ -209,17 +211,17 @@
     state.live.push_back(attempt);
     const ActionKind kind = event.local ? ActionKind::EnterGate : ActionKind::Forward;
     actions.push_back({.kind = kind, .attempt = attempt.id, .upstream = attempt.upstream});
-    if (mayHedge(state)) {
+    if (isHedgeAllowed(state)) {
         actions.push_back({.kind = ActionKind::ArmHedge});
     }
 }
 
 /**
- * @return whether the owner is being replaced or is unreachable, which is temporary
- * Such an end isn't counted as a try: otherwise three quick tries at a lost owner would exhaust them before the key has
- * its next owner.
+ * @return whether the attempt failed because the owner is being replaced or is unreachable, which is temporary
+ * Such a failure isn't counted as a try: otherwise three quick attempts at a lost owner would use up all tries before
+ * the key has its next owner.
  */
-bool isRouteEnd(const RequestState &state)
+bool isRoutingFailure(const RequestState &state)
 {
     return state.lastOutcome == AttemptOutcome::NotOwner
            || (state.facts.keyed && state.lastOutcome == AttemptOutcome::NotSent);
@@ -232,14 +234,14 @@
     if (!state.live.empty()) {
         return;
     }
-    const bool maySendAgain = state.ran == Ran::No || canRetry(state.facts);
-    if (state.facts.forwarded || !maySendAgain || state.lastOutcome == AttemptOutcome::Quarantined) {
+    const bool canSendAgain = state.ran == Ran::No || canRetry(state.facts);
+    if (state.facts.forwarded || !canSendAgain || state.lastOutcome == AttemptOutcome::Quarantined) {
         refuseAttempt(state, actions);
         return;
     }
-    if (isRouteEnd(state)) {
-        const bool askAnother = !state.facts.keyed && state.tries < state.facts.maxTries;
-        if (askAnother) {
+    if (isRoutingFailure(state)) {
+        const bool canTryAnother = !state.facts.keyed && state.tries < state.facts.maxTries;
+        if (canTryAnother) {
             route(state, actions);
             return;
         }
@@ -252,7 +254,7 @@
         refuseAttempt(state, actions);
         return;
     }
-    // The only owner gets a pause before it is asked again; another upstream is asked at once.
+    // A keyed request is sent to the same owner again after a delay; another upstream is tried immediately.
     if (state.facts.keyed) {
         wait(state, now, context, actions);
         return;
@@ -280,7 +282,7 @@
         return;
     }
     if (event.mayHaveRun) {
-        raise(state.ran, Ran::Unknown);
+        raiseTo(state.ran, Ran::Unknown);
     }
     state.lastOutcome = event.outcome;
     attemptFailed(state, attempt, now, context, actions);
@@ -288,8 +290,8 @@
 
 void hedgeDue(RequestState &state, BootTime now, const RequestContext &context, Actions &actions)
 {
-    const bool oneHandedOn = state.live.size() == 1 && state.live.front().stage != AttemptStage::Queued;
-    if (state.stage != Stage::Running || !mayHedge(state) || !oneHandedOn || now >= state.facts.deadline
+    const bool hasOneSentAttempt = state.live.size() == 1 && state.live.front().stage != AttemptStage::Queued;
+    if (state.stage != Stage::Running || !isHedgeAllowed(state) || !hasOneSentAttempt || now >= state.facts.deadline
         || !withdraw(*context.hedges)) {
         return;
     }
@@ -316,10 +318,10 @@
 }
 
 /**
- * A claimed request that may be running goes on without its caller: the recorded answer is what the caller's resend
- * gets, where a cancelled one would leave it "unknown".
+ * Handles the caller's disconnection. A claimed request that may be running is not cancelled: its recorded answer is
+ * returned to the caller's resend, while after a cancellation the resend would get "unknown".
  */
-void callerGone(RequestState &state, Actions &actions)
+void callerDisconnected(RequestState &state, Actions &actions)
 {
     const Ran ran = ranIfGivenUp(state);
     if (state.claimGranted && ran != Ran::No) {
@@ -332,14 +334,14 @@
 }
 
 /**
- * Guard against an id that nobody can use again. It shows when a caller goes away or the deadline passes while the
- * claim is asked for, and the claim is granted after that: every resend would be told "unknown" until it expires.
- * Nothing was dispatched under it, so it is given back.
+ * Releases a claim that was granted after the request had ended, because its caller disconnected or its deadline passed
+ * in the meantime. Without this, every resend under the id would be answered "unknown" until the claim expires. Nothing
+ * was dispatched under the claim, so it can be released.
  */
-void giveBackLateClaim(RequestState &state, const RequestEvent &event, Actions &actions)
+void releaseLateClaim(RequestState &state, const RequestEvent &event, Actions &actions)
 {
-    const bool late = event.kind == EventKind::ClaimAnswered && event.claim == ClaimAnswer::Granted;
-    if (!late || state.claimGranted) {
+    const bool isLateGrant = event.kind == EventKind::ClaimAnswered && event.claim == ClaimAnswer::Granted;
+    if (!isLateGrant || state.claimGranted) {
         return;
     }
     state.claimGranted = true;
@@ -369,7 +371,7 @@
 {
     Actions actions;
     if (state.stage == Stage::Ended) {
-        giveBackLateClaim(state, event, actions);
+        releaseLateClaim(state, event, actions);
         return actions;
     }
     switch (event.kind) {
@@ -377,7 +379,7 @@
         start(state, context, actions);
         break;
     case EventKind::FoundQuarantined:
-        raise(state.ran, state.facts.claimed ? Ran::Unknown : Ran::No);
+        raiseTo(state.ran, state.facts.claimed ? Ran::Unknown : Ran::No);
         state.lastOutcome = AttemptOutcome::Quarantined;
         refuseAttempt(state, actions);
         break;
@@ -416,7 +418,7 @@
         refuse(state, {.cause = RefusalCause::DeadlinePassed, .status = 504}, actions);
         break;
     case EventKind::CallerDisconnected:
-        callerGone(state, actions);
+        callerDisconnected(state, actions);
         break;
     }
     return actions;
--- a/src/agent/RouteMap.cpp
+++ b/src/agent/RouteMap.cpp
@@ -45,7 +45,8 @@
     if (table.has_routes()) {
         map.routes = table.routes();
     } else if (table.has_routes_change() && table.routes_change().table().revision() > map.routes.revision()) {
-        // It may begin before what is known here, when the full state came between; see table::joined().
+        // The change may start from a revision before the one known here, if a full state came in between; see
+        // table::joined().
         map.routes = table::merged(map.routes, table.routes_change());
     }
     map.failureDomainsOut = {table.failure_domains_out().begin(), table.failure_domains_out().end()};
--- a/src/agent/Router.cpp
+++ b/src/agent/Router.cpp
@@ -9,45 +9,45 @@
 
 using std::chrono::nanoseconds;
 
-/** Weight of a new sample in the smoothed latency: one in four, so that a straggler is seen within a few answers. */
-constexpr int LatencyShare = 4;
-/** Smoothed latency over the median of the service that makes a straggler, ... */
+/** Divisor of a new sample in the smoothed latency: a weight of one quarter detects a straggler in a few answers. */
+constexpr int LatencyDivisor = 4;
+/** Ratio of smoothed latency to the service's median above which an upstream is a straggler. */
 constexpr double StragglerRatio = 3;
-/** ... unless the difference is too small to matter, ... */
-constexpr std::chrono::milliseconds LeastDifference{2};
-/** ... or too little was seen. */
-constexpr unsigned LeastAnswers = 3;
-constexpr unsigned MostFailuresInRow = 3;
-constexpr std::chrono::milliseconds FirstEjection{200};
-constexpr unsigned MostDoublings = 4;
-constexpr unsigned ProbesToReturn = 3;
-/** At most one upstream in so many is ejected, but always one where there is a second. */
-constexpr std::size_t EjectedShare = 3;
-/** One in so many while the others are less full than the share. */
-constexpr std::size_t EjectedShareWithRoom = 2;
-constexpr double RoomyShare = 0.6;
-/** How old the median may get. */
-constexpr std::chrono::milliseconds MedianAge{10};
-
-/** Load reports older than this say nothing. */
-constexpr std::chrono::milliseconds LoadAge{500};
-/** A gate less full than this has room, whatever its share; ... */
-constexpr double RoomyLoad = 0.75;
-/** ... each part beyond it counts as so many requests outstanding here. */
-constexpr double LoadWorth = 32;
-/** Load of a gate that sheds: everything in progress and as much waiting. */
-constexpr double FullLoad = 2;
-/** Costs that differ by more send a request elsewhere than its draw by weight. */
-constexpr double ClearDifference = 4;
-/** Loads that differ by less are alike, and the local failure domain is preferred among them, ... */
-constexpr double AlikeLoad = 0.5;
-/** ... as long as the local upstream isn't busy. */
+/** An upstream whose latency exceeds the median by less is not a straggler at any ratio. */
+constexpr std::chrono::milliseconds MinLatencyDifference{2};
+/** Minimum number of answers before an upstream can be a straggler. */
+constexpr unsigned MinAnswers = 3;
+constexpr unsigned MaxFailuresInRow = 3;
+constexpr std::chrono::milliseconds BaseEjectionTime{200};
+constexpr unsigned MaxEjectionDoublings = 4;
+constexpr unsigned ProbesAfterEjection = 3;
+/** At most this fraction (1/n) of the upstreams is ejected, but one is always allowed where there is a second. */
+constexpr std::size_t EjectedDivisor = 3;
+/** The same fraction (1/n) while the mean reported load is below LowMeanLoad. */
+constexpr std::size_t EjectedDivisorAtLowLoad = 2;
+constexpr double LowMeanLoad = 0.6;
+/** Maximum age of the median. */
+constexpr std::chrono::milliseconds MaxMedianAge{10};
+
+/** Older load reports are ignored. */
+constexpr std::chrono::milliseconds MaxLoadReportAge{500};
+/** Load of a gate up to which it adds nothing to an upstream's cost. */
+constexpr double UnpenalizedLoad = 0.75;
+/** Number of outstanding requests that one unit of load above UnpenalizedLoad is equivalent to. */
+constexpr double LoadPenalty = 32;
+/** Load assumed for a gate that sheds: the limit reached, and as many requests waiting. */
+constexpr double ShedLoad = 2;
+/** A larger difference in cost overrides the choice by weight. */
+constexpr double MinCostDifference = 4;
+/** Among upstreams whose costs differ by less, the local failure domain is preferred. */
+constexpr double SimilarCost = 0.5;
+/** Load from which on a local upstream is no longer preferred. */
 constexpr double BusyLoad = 0.5;
 
 constexpr double HedgeQuantile = 0.95;
-/** Step of the quantile estimate, as a part of itself. */
+/** Step of the quantile estimate, as a fraction of the estimate. */
 constexpr double QuantileStep = 0.05;
-constexpr std::chrono::milliseconds LeastHedgeDelay{1};
+constexpr std::chrono::milliseconds MinHedgeDelay{1};
 
 /** @return the lower median of the smoothed latencies; 0 when none was seen */
 nanoseconds medianLatency(const ServiceRouting &routing)
@@ -66,10 +66,10 @@
     return *middle;
 }
 
-/** Brings the median up to date now and then: it moves slowly, and is asked for with each choice. */
+/** Updates the median if it is older than MaxMedianAge: it changes slowly and is needed for each choice. */
 void refreshMedian(ServiceRouting &routing, BootTime now)
 {
-    if (now - routing.medianAt >= MedianAge || routing.median.count() == 0) {
+    if (now - routing.medianAt >= MaxMedianAge || routing.median.count() == 0) {
         routing.median = medianLatency(routing);
         routing.medianAt = now;
     }
@@ -77,67 +77,67 @@
 
 double reportedLoad(const UpstreamHealth &health, BootTime now)
 {
-    return now - health.loadAt < LoadAge ? health.load : 0;
+    return now - health.loadAt < MaxLoadReportAge ? health.load : 0;
 }
 
-/** @return how many upstreams may be out at once: a third, and half as long as the others have room for their load */
-std::size_t mostEjected(const ServiceRouting &routing, BootTime now)
+/** @return how many upstreams may be ejected at the same time: a third, or half at low load */
+std::size_t maxEjected(const ServiceRouting &routing, BootTime now)
 {
     double load = 0;
     for (const auto &[id, health] : routing.health) {
         load += std::min(1.0, reportedLoad(health, now));
     }
     const std::size_t known = routing.health.size();
-    const bool roomy = load < RoomyShare * static_cast<double>(known);
-    return std::max<std::size_t>(1, known / (roomy ? EjectedShareWithRoom : EjectedShare));
+    const bool isLowLoad = load < LowMeanLoad * static_cast<double>(known);
+    return std::max<std::size_t>(1, known / (isLowLoad ? EjectedDivisorAtLowLoad : EjectedDivisor));
 }
 
-bool mayEject(const ServiceRouting &routing, std::uint32_t upstream, BootTime now)
+bool canEject(const ServiceRouting &routing, std::uint32_t upstream, BootTime now)
 {
     if (routing.health.size() < 2) {
         return false;
     }
-    const auto out = std::count_if(routing.health.begin(), routing.health.end(), [&](const auto &entry) {
+    const auto ejectedCount = std::count_if(routing.health.begin(), routing.health.end(), [&](const auto &entry) {
         return entry.first != upstream && (now < entry.second.ejectedUntil || entry.second.probesLeft > 0);
     });
-    return static_cast<std::size_t>(out) < mostEjected(routing, now);
+    return static_cast<std::size_t>(ejectedCount) < maxEjected(routing, now);
 }
 
 void eject(ServiceRouting &routing, std::uint32_t upstream, BootTime now)
 {
-    if (!mayEject(routing, upstream, now)) {
+    if (!canEject(routing, upstream, now)) {
         return;
     }
     UpstreamHealth &health = routing.health[upstream];
-    health.ejectedUntil = now + FirstEjection * (1U << std::min(health.ejections, MostDoublings));
+    health.ejectedUntil = now + BaseEjectionTime * (1U << std::min(health.ejections, MaxEjectionDoublings));
     health.ejections++;
-    health.probesLeft = ProbesToReturn;
+    health.probesLeft = ProbesAfterEjection;
     health.failuresInRow = 0;
 }
 
 bool isSlow(const ServiceRouting &routing, nanoseconds latency)
 {
-    return routing.median.count() > 0 && latency > routing.median + LeastDifference
+    return routing.median.count() > 0 && latency > routing.median + MinLatencyDifference
            && static_cast<double>(latency.count()) > StragglerRatio * static_cast<double>(routing.median.count());
 }
 
-void learnLatency(UpstreamHealth &health, nanoseconds latency)
+void updateLatency(UpstreamHealth &health, nanoseconds latency)
 {
-    const int share = health.answers == 0 ? 1 : LatencyShare;
-    health.latency += (latency - health.latency) / share;
+    const int divisor = health.answers == 0 ? 1 : LatencyDivisor;
+    health.latency += (latency - health.latency) / divisor;
     health.answers++;
 }
 
-void learnHedgeDelay(ServiceRouting &routing, nanoseconds latency)
+void updateHedgeDelay(ServiceRouting &routing, nanoseconds latency)
 {
     const auto step = static_cast<double>(routing.hedgeDelay.count()) * QuantileStep;
     const double change = latency > routing.hedgeDelay ? step * HedgeQuantile : -step * (1 - HedgeQuantile);
     routing.hedgeDelay += nanoseconds(static_cast<nanoseconds::rep>(change));
-    routing.hedgeDelay = std::max<nanoseconds>(routing.hedgeDelay, LeastHedgeDelay);
+    routing.hedgeDelay = std::max<nanoseconds>(routing.hedgeDelay, MinHedgeDelay);
 }
 
-/** A slow probe sends the upstream out again; a fast one brings it nearer. */
-void judge(ServiceRouting &routing, std::uint32_t upstream, nanoseconds latency, BootTime now)
+/** Ejects a straggler. While an upstream is probed, a slow answer ejects it again and a fast one counts as a probe. */
+void updateEjection(ServiceRouting &routing, std::uint32_t upstream, nanoseconds latency, BootTime now)
 {
     UpstreamHealth &health = routing.health[upstream];
     if (health.probesLeft > 0) {
@@ -155,12 +155,12 @@
         }
         return;
     }
-    if (health.answers >= LeastAnswers && isSlow(routing, health.latency)) {
+    if (health.answers >= MinAnswers && isSlow(routing, health.latency)) {
         eject(routing, upstream, now);
     }
 }
 
-void noteEnded(ServiceRouting &routing, std::uint32_t upstream)
+void recordEnded(ServiceRouting &routing, std::uint32_t upstream)
 {
     UpstreamHealth &health = routing.health[upstream];
     if (health.outstanding > 0) {
@@ -168,21 +168,21 @@
     }
 }
 
-/** @return whether the upstream takes no request now: ejected, or probed by one already */
-bool isHeldBack(const ServiceRouting &routing, std::uint32_t upstream, BootTime now)
+/** @return whether no request should be sent to the upstream now: ejected, already probed, or not answering */
+bool isUnavailable(const ServiceRouting &routing, std::uint32_t upstream, BootTime now)
 {
     const auto found = routing.health.find(upstream);
     if (found == routing.health.end()) {
         return false;
     }
     const UpstreamHealth &health = found->second;
-    // Nothing has come back for longer than a straggler's answer takes: waiting for that answer would cost more
-    // requests.
-    const bool stuck = health.outstanding > 0 && isSlow(routing, now - health.progressAt);
-    return now < health.ejectedUntil || (health.probesLeft > 0 && health.outstanding > 0) || stuck;
+    // There was no answer for longer than a straggler needs. Further requests sent before the next answer would be slow
+    // too.
+    const bool isStuck = health.outstanding > 0 && isSlow(routing, now - health.progressAt);
+    return now < health.ejectedUntil || (health.probesLeft > 0 && health.outstanding > 0) || isStuck;
 }
 
-/** @return how busy an upstream is for its weight */
+/** @return the cost of choosing an upstream: its outstanding requests by weight, and a penalty for reported load */
 double cost(const ServiceRouting &routing, const Candidate &candidate, double meanWeight, BootTime now)
 {
     const auto found = routing.health.find(candidate.upstream);
@@ -190,18 +190,18 @@
         return 0;
     }
     const UpstreamHealth &health = found->second;
-    const double crowding = std::max(0.0, reportedLoad(health, now) - RoomyLoad);
-    return crowding * LoadWorth + health.outstanding * meanWeight / candidate.weight;
+    const double excessLoad = std::max(0.0, reportedLoad(health, now) - UnpenalizedLoad);
+    return excessLoad * LoadPenalty + health.outstanding * meanWeight / candidate.weight;
 }
 
-double randomPart(pcg32 &random)
+double randomFraction(pcg32 &random)
 {
     return static_cast<double>(random()) / (static_cast<double>(pcg32::max()) + 1);
 }
 
-std::size_t drawByWeight(const std::vector<Candidate> &candidates, double total, pcg32 &random)
+std::size_t chooseByWeight(const std::vector<Candidate> &candidates, double total, pcg32 &random)
 {
-    double rest = randomPart(random) * total;
+    double rest = randomFraction(random) * total;
     for (std::size_t index = 0; index + 1 < candidates.size(); index++) {
         rest -= candidates[index].weight;
         if (rest < 0) {
@@ -218,45 +218,47 @@
 }
 
 /**
- * The first draw stands unless the second is clearly less busy: so load follows the weights, and leaves an upstream
- * only when it is behind.
+ * Returns the first choice unless the second has a clearly lower cost, so that load follows the weights and is moved
+ * away only from an upstream that falls behind.
  */
-const Candidate &
-better(const ServiceRouting &routing, const Candidate &first, const Candidate &second, double meanWeight, BootTime now)
+const Candidate &betterOf(
+    const ServiceRouting &routing, const Candidate &first, const Candidate &second, double meanWeight, BootTime now)
 {
     const double difference = cost(routing, first, meanWeight, now) - cost(routing, second, meanWeight, now);
-    if (difference > ClearDifference) {
+    if (difference > MinCostDifference) {
         return second;
     }
     const bool prefersSecond = second.localDomain && !first.localDomain && !isBusy(routing, second, now);
-    return prefersSecond && difference > -AlikeLoad ? second : first;
+    return prefersSecond && difference > -SimilarCost ? second : first;
 }
 
-const Candidate &twoChoices(ServiceRouting &routing, const std::vector<Candidate> &open, pcg32 &random, BootTime now)
+const Candidate &
+twoChoices(ServiceRouting &routing, const std::vector<Candidate> &available, pcg32 &random, BootTime now)
 {
     double total = 0;
-    for (const Candidate &candidate : open) {
+    for (const Candidate &candidate : available) {
         total += candidate.weight;
     }
-    const Candidate &first = open[drawByWeight(open, total, random)];
-    const Candidate &second = open[drawByWeight(open, total, random)];
-    return better(routing, first, second, total / static_cast<double>(open.size()), now);
+    const Candidate &first = available[chooseByWeight(available, total, random)];
+    const Candidate &second = available[chooseByWeight(available, total, random)];
+    return betterOf(routing, first, second, total / static_cast<double>(available.size()), now);
 }
 
 std::vector<Candidate> without(const std::vector<Candidate> &candidates, const std::vector<std::uint32_t> &tried)
 {
-    std::vector<Candidate> left;
-    std::copy_if(candidates.begin(), candidates.end(), std::back_inserter(left), [&](const Candidate &candidate) {
+    std::vector<Candidate> untried;
+    std::copy_if(candidates.begin(), candidates.end(), std::back_inserter(untried), [&](const Candidate &candidate) {
         return std::find(tried.begin(), tried.end(), candidate.upstream) == tried.end();
     });
-    return left;
+    return untried;
 }
 
-/** @return those of the own failure domain that have room, where they go first */
-std::vector<Candidate> roomyLocal(const ServiceRouting &routing, const std::vector<Candidate> &open, BootTime now)
+/** @return the candidates of the agent's failure domain whose load is below maxLocalLoad; these are preferred */
+std::vector<Candidate>
+localBelowMaxLoad(const ServiceRouting &routing, const std::vector<Candidate> &available, BootTime now)
 {
     std::vector<Candidate> local;
-    std::copy_if(open.begin(), open.end(), std::back_inserter(local), [&](const Candidate &candidate) {
+    std::copy_if(available.begin(), available.end(), std::back_inserter(local), [&](const Candidate &candidate) {
         const auto found = routing.health.find(candidate.upstream);
         const double load = found == routing.health.end() ? 0 : reportedLoad(found->second, now);
         return candidate.localDomain && load < routing.maxLocalLoad;
@@ -272,32 +274,32 @@
                      pcg32 &random,
                      BootTime now)
 {
-    const std::vector<Candidate> left = without(candidates, tried);
-    if (left.empty()) {
+    const std::vector<Candidate> untried = without(candidates, tried);
+    if (untried.empty()) {
         return 0;
     }
     if (routing.policy == ChoicePolicy::UniformRandom) {
-        return left[random(static_cast<std::uint32_t>(left.size()))].upstream;
+        return untried[random(static_cast<std::uint32_t>(untried.size()))].upstream;
     }
     if (routing.policy == ChoicePolicy::RoundRobin) {
-        return left[routing.nextIndex++ % left.size()].upstream;
+        return untried[routing.nextIndex++ % untried.size()].upstream;
     }
     if (routing.policy == ChoicePolicy::WeightedRandom) {
         double total = 0;
-        for (const Candidate &candidate : left) {
+        for (const Candidate &candidate : untried) {
             total += candidate.weight;
         }
-        return left[drawByWeight(left, total, random)].upstream;
+        return untried[chooseByWeight(untried, total, random)].upstream;
     }
-    std::vector<Candidate> open;
-    std::copy_if(left.begin(), left.end(), std::back_inserter(open), [&](const Candidate &candidate) {
-        return !isHeldBack(routing, candidate.upstream, now);
+    std::vector<Candidate> available;
+    std::copy_if(untried.begin(), untried.end(), std::back_inserter(available), [&](const Candidate &candidate) {
+        return !isUnavailable(routing, candidate.upstream, now);
     });
-    if (const std::vector<Candidate> local = roomyLocal(routing, open, now); !local.empty()) {
+    if (const std::vector<Candidate> local = localBelowMaxLoad(routing, available, now); !local.empty()) {
         return twoChoices(routing, local, random, now).upstream;
     }
-    // With nobody else left, an ejected upstream is better than none.
-    return twoChoices(routing, open.empty() ? left : open, random, now).upstream;
+    // If all untried upstreams are unavailable, an ejected one is used rather than none.
+    return twoChoices(routing, available.empty() ? untried : available, random, now).upstream;
 }
 
 void recordSent(ServiceRouting &routing, std::uint32_t upstream, BootTime now)
@@ -312,7 +314,7 @@
 void recordAnswered(
     ServiceRouting &routing, std::uint32_t upstream, std::chrono::nanoseconds latency, double load, BootTime now)
 {
-    noteEnded(routing, upstream);
+    recordEnded(routing, upstream);
     refreshMedian(routing, now);
     UpstreamHealth &health = routing.health[upstream];
     health.progressAt = now;
@@ -321,42 +323,42 @@
         health.load = load;
         health.loadAt = now;
     }
-    learnLatency(health, latency);
-    learnHedgeDelay(routing, latency);
-    judge(routing, upstream, latency, now);
+    updateLatency(health, latency);
+    updateHedgeDelay(routing, latency);
+    updateEjection(routing, upstream, latency, now);
 }
 
 void recordShed(ServiceRouting &routing, std::uint32_t upstream, BootTime now)
 {
-    noteEnded(routing, upstream);
+    recordEnded(routing, upstream);
     UpstreamHealth &health = routing.health[upstream];
-    health.load = std::max(health.load, FullLoad);
+    health.load = std::max(health.load, ShedLoad);
     health.loadAt = now;
 }
 
 void recordFailed(ServiceRouting &routing, std::uint32_t upstream, std::chrono::nanoseconds waited, BootTime now)
 {
-    noteEnded(routing, upstream);
+    recordEnded(routing, upstream);
     UpstreamHealth &health = routing.health[upstream];
     health.failuresInRow++;
-    if (health.failuresInRow >= MostFailuresInRow || health.probesLeft > 0) {
+    if (health.failuresInRow >= MaxFailuresInRow || health.probesLeft > 0) {
         eject(routing, upstream, now);
         return;
     }
     if (waited > health.latency) {
-        learnLatency(health, waited);
-        judge(routing, upstream, waited, now);
+        updateLatency(health, waited);
+        updateEjection(routing, upstream, waited, now);
     }
 }
 
 void recordCancelled(ServiceRouting &routing, std::uint32_t upstream, std::chrono::nanoseconds waited, BootTime now)
 {
-    noteEnded(routing, upstream);
+    recordEnded(routing, upstream);
     UpstreamHealth &health = routing.health[upstream];
-    // It takes at least as long as was waited: the loser of a hedge is how a straggler is first seen.
+    // The time waited is a lower bound of the latency; the loser of a hedge is often the first sign of a straggler.
     if (waited > health.latency) {
-        learnLatency(health, waited);
-        judge(routing, upstream, waited, now);
+        updateLatency(health, waited);
+        updateEjection(routing, upstream, waited, now);
     }
 }
 
--- a/tests/BodyQueueTest.cpp
+++ b/tests/BodyQueueTest.cpp
@@ -20,7 +20,7 @@
 struct Link {
     struct Transfer {
         AnnouncedBody body;
-        double left = 0;
+        double bytesLeft = 0;
     };
 
     void begin(const AnnouncedBody &body)
@@ -35,13 +35,13 @@
                             / static_cast<double>(std::max<std::size_t>(this->transfers.size(), 1));
         std::vector<AnnouncedBody> whole;
         for (Transfer &transfer : this->transfers) {
-            transfer.left -= each;
-            if (transfer.left <= 0) {
+            transfer.bytesLeft -= each;
+            if (transfer.bytesLeft <= 0) {
                 whole.push_back(transfer.body);
             }
         }
         std::erase_if(this->transfers, [](const Transfer &transfer) {
-            return transfer.left <= 0;
+            return transfer.bytesLeft <= 0;
         });
         return whole;
     }
@@ -53,14 +53,14 @@
     unsigned arrived = 0;
     unsigned inTime = 0;
     unsigned late = 0;
-    std::size_t mostOnLink = 0;
+    std::size_t maxOnLink = 0;
 };
 
 /** Plays a minute of bodies that come at random, for @p load times the link's rate, each wanted within @p patience. */
-Outcome play(double load, std::chrono::milliseconds patience)
+Outcome simulate(double load, std::chrono::milliseconds timeLimit)
 {
     pcg32 random(7);
-    const auto part = [&random] {
+    const auto randomFraction = [&random] {
         return (static_cast<double>(random()) + 1) / (static_cast<double>(pcg32::max()) + 2);
     };
     BodyQueue queue;
@@ -76,17 +76,18 @@
             }
         }
         while (next <= now) {
-            const AnnouncedBody body{++outcome.arrived, BodyBytes, now + patience};
+            const AnnouncedBody body{++outcome.arrived, BodyBytes, now + timeLimit};
             const Admission admission = requestAdmission(queue, body, now);
             if (admission == Admission::Admitted) {
                 link.begin(body);
             } else if (admission == Admission::Queued) {
                 waiting[body.id] = body;
             }
-            const std::chrono::duration<double> gap(-std::log(part()) * BodyBytes / LinkBytesPerSecond / load);
-            next += std::chrono::duration_cast<std::chrono::nanoseconds>(gap);
+            const std::chrono::duration<double> interval(-std::log(randomFraction()) * BodyBytes / LinkBytesPerSecond
+                                                         / load);
+            next += std::chrono::duration_cast<std::chrono::nanoseconds>(interval);
         }
-        outcome.mostOnLink = std::max(outcome.mostOnLink, link.transfers.size());
+        outcome.maxOnLink = std::max(outcome.maxOnLink, link.transfers.size());
     }
     return outcome;
 }
@@ -96,17 +97,17 @@
 // Guards against a link whose queue grows without bound when more bodies come than it carries.
 TEST_CASE("of more bodies than the link carries, those let in are in time and the link stays busy")
 {
-    const Outcome outcome = play(1.3, 800ms);
+    const Outcome outcome = simulate(1.3, 800ms);
     const double carried = outcome.inTime * static_cast<double>(BodyBytes) / LinkBytesPerSecond / 60;
     CHECK(outcome.arrived > 900);
     CHECK(carried > 0.9);
     CHECK(outcome.late <= outcome.inTime / 50);
-    CHECK(outcome.mostOnLink <= MaxBodiesReceiving);
+    CHECK(outcome.maxOnLink <= MaxBodiesReceiving);
 }
 
 TEST_CASE("a link with room refuses hardly any body")
 {
-    const Outcome outcome = play(0.5, 800ms);
+    const Outcome outcome = simulate(0.5, 800ms);
     CHECK(outcome.inTime > 0.99 * outcome.arrived);
 }
 
--- a/tests/CrashTrackerTest.cpp
+++ b/tests/CrashTrackerTest.cpp
@@ -76,5 +76,5 @@
     }
     REQUIRE_FALSE(contains(recent, Poison));
     REQUIRE(contains(recent, Innocent));
-    REQUIRE(recent.places.size() == 2);
+    REQUIRE(recent.positions.size() == 2);
 }
--- a/tests/GateLoadTest.cpp
+++ b/tests/GateLoadTest.cpp
@@ -27,7 +27,7 @@
 
 /** What became of the requests of one kind. */
 struct Tally {
-    unsigned asked = 0;
+    unsigned arrived = 0;
     unsigned inTarget = 0;
     unsigned refused = 0;
     /** Refused only after more than a quarter of the target latency. */
@@ -35,7 +35,7 @@
 
     double shareInTarget() const
     {
-        return static_cast<double>(this->inTarget) / this->asked;
+        return static_cast<double>(this->inTarget) / this->arrived;
     }
 };
 
@@ -49,12 +49,12 @@
  * Plays a load against one gate and its upstream: requests come at random, work lasts between half and twice the mean,
  * and the upstream's VM takes three times as long in a fifth of the time, for 400 ms on end.
  */
-class Play
+class Simulation
 {
 public:
-    Play(std::vector<Kind> kinds, bool byUrgency, unsigned slots = Slots)
+    Simulation(std::vector<Kind> kinds, bool byPriority, unsigned slots = Slots)
         : kinds(std::move(kinds))
-        , byUrgency(byUrgency)
+        , byPriority(byPriority)
         , gate(makeGate(GateSettingsBuilder().ceiling(slots).minConnectionInterval(0us).adaptive(false).build().value(),
                         Start))
         , tallies(this->kinds.size())
@@ -73,7 +73,7 @@
                         std::chrono::duration<double>(-std::log(1 - this->draw()) / this->kinds[kind].perSecond));
                 }
             }
-            this->carryOut(processQueue(this->gate, now), now);
+            this->apply(processQueue(this->gate, now), now);
         }
         return this->tallies;
     }
@@ -87,11 +87,11 @@
     void requestAdmission(std::size_t kind, BootTime now)
     {
         const Kind &what = this->kinds[kind];
-        const TicketId ticket = ++this->last;
+        const TicketId ticket = ++this->lastTicket;
         const double spread = std::exp2(2 * this->draw() - 1);
         this->requests[ticket] = {kind, now, std::chrono::duration_cast<std::chrono::nanoseconds>(what.work * spread)};
-        ++this->tallies[kind].asked;
-        const QueuePriority queuePriority = this->byUrgency ? queuePriorityOf(what.targets, now) : QueuePriority{};
+        ++this->tallies[kind].arrived;
+        const QueuePriority queuePriority = this->byPriority ? queuePriorityOf(what.targets, now) : QueuePriority{};
         const Admission admission =
             agent::requestAdmission(this->gate, {ticket, now + what.targets.timeout, queuePriority}, now);
         if (admission == Admission::Admitted) {
@@ -127,12 +127,12 @@
         }
     }
 
-    void carryOut(const GateDecisions &moves, BootTime now)
+    void apply(const GateDecisions &decisions, BootTime now)
     {
-        for (const TicketId ticket : moves.shed) {
+        for (const TicketId ticket : decisions.shed) {
             this->refuse(ticket, now);
         }
-        for (const TicketId ticket : moves.admitted) {
+        for (const TicketId ticket : decisions.admitted) {
             this->start(ticket, now);
         }
     }
@@ -140,17 +140,17 @@
     using End = std::tuple<BootTime, TicketId, BootTime>;
 
     std::vector<Kind> kinds;
-    bool byUrgency;
+    bool byPriority;
     Gate gate;
     std::vector<Tally> tallies;
     std::map<TicketId, Request> requests;
     std::priority_queue<End, std::vector<End>, std::greater<>> ends;
     pcg32 random{11};
-    TicketId last = 0;
+    TicketId lastTicket = 0;
 };
 
 /** Enrolments at 1.3 times what twelve slots serve, and the seat checks that other services make meanwhile. */
-std::vector<Kind> crowdedEnrolments()
+std::vector<Kind> overloadedEnrolments()
 {
     return {{.perSecond = 55, .work = 210ms, .targets = {.targetLatency = 600ms, .timeout = 1200ms, .priority = 1}},
             {.perSecond = 45, .work = 40ms, .targets = {.targetLatency = 150ms, .timeout = 500ms, .priority = 1}}};
@@ -162,15 +162,15 @@
 // quick. First come first served, every second call was late, and the work of the request that made it was lost.
 TEST_CASE("gate under load: calls that must be quick overtake, and more of everything comes in its target")
 {
-    const std::vector<Tally> inOrder = Play(crowdedEnrolments(), false).run();
-    const std::vector<Tally> byUrgency = Play(crowdedEnrolments(), true).run();
+    const std::vector<Tally> firstComeFirstServed = Simulation(overloadedEnrolments(), false).run();
+    const std::vector<Tally> byPriority = Simulation(overloadedEnrolments(), true).run();
     WARN("in target, first come first served: enrolments "
-         << inOrder[0].shareInTarget() << ", calls " << inOrder[1].shareInTarget()
-         << "; by urgency: " << byUrgency[0].shareInTarget() << ", " << byUrgency[1].shareInTarget());
-    REQUIRE(inOrder[1].shareInTarget() < 0.5);
-    REQUIRE(byUrgency[1].shareInTarget() > 0.6);
-    REQUIRE(byUrgency[0].shareInTarget() > inOrder[0].shareInTarget());
-    REQUIRE(byUrgency[0].refusedLate * 20 < byUrgency[0].asked);
+         << firstComeFirstServed[0].shareInTarget() << ", calls " << firstComeFirstServed[1].shareInTarget()
+         << "; by urgency: " << byPriority[0].shareInTarget() << ", " << byPriority[1].shareInTarget());
+    REQUIRE(firstComeFirstServed[1].shareInTarget() < 0.5);
+    REQUIRE(byPriority[1].shareInTarget() > 0.6);
+    REQUIRE(byPriority[0].shareInTarget() > firstComeFirstServed[0].shareInTarget());
+    REQUIRE(byPriority[0].refusedLate * 20 < byPriority[0].arrived);
 }
 
 // Balances are answered with an error though their own upstream worked on them: each asks for two limits meanwhile,
@@ -180,14 +180,14 @@
 {
     const TimeTargets lookup{.targetLatency = 200ms, .timeout = 600ms, .priority = 1};
     const TimeTargets order{.targetLatency = 800ms, .timeout = 1500ms, .priority = 1};
-    const std::vector<Tally> played =
-        Play({{.perSecond = 12, .work = 290ms, .targets = order}, {.perSecond = 27, .work = 55ms, .targets = lookup}},
-             true,
-             FewSlots)
-            .run();
-    WARN("refused: lookups " << played[1].refused << " of " << played[1].asked << ", orders " << played[0].refused
-                             << " of " << played[0].asked << ", orders in target " << played[0].shareInTarget());
-    CHECK(played[1].refused * 5 < played[1].asked);
+    const std::vector<Tally> played = Simulation({{.perSecond = 12, .work = 290ms, .targets = order},
+                                                  {.perSecond = 27, .work = 55ms, .targets = lookup}},
+                                                 true,
+                                                 FewSlots)
+                                          .run();
+    WARN("refused: lookups " << played[1].refused << " of " << played[1].arrived << ", orders " << played[0].refused
+                             << " of " << played[0].arrived << ", orders in target " << played[0].shareInTarget());
+    CHECK(played[1].refused * 5 < played[1].arrived);
     CHECK(played[0].shareInTarget() > 0.6);
 }
 
--- a/tests/GrantExplorerTest.cpp
+++ b/tests/GrantExplorerTest.cpp
@@ -21,7 +21,7 @@
 constexpr milliseconds Step{100};
 constexpr milliseconds LeaseLength{600};
 /** Control waits so much longer than a lease before it gives keys away. */
-constexpr milliseconds Margin{100};
+constexpr milliseconds ReassignMargin{100};
 constexpr const char *Service = "seats";
 constexpr std::uint64_t LastHash = ~std::uint64_t{0};
 constexpr std::size_t Sides = 2;
@@ -38,7 +38,7 @@
     times.renewThreshold = 150ms;
     times.grantTimeout = Step;
     times.releaseTimeout = Step;
-    times.retryAfter = Step;
+    times.retryDelay = Step;
     return times;
 }
 
@@ -65,7 +65,7 @@
     RouteMap map;
     BootTime leaseUntil;
     BootTime startedAt;
-    bool cut = false;
+    bool isPartitioned = false;
 };
 
 /** Control as far as it matters here: one slice, its owner and epoch, and whose lease it must wait for. */
@@ -80,7 +80,7 @@
     Without without = Without::Nothing;
 };
 
-void tellOwner(World &world, Side &side)
+void sendOwner(World &world, Side &side)
 {
     wire::StateUpdate state;
     state.mutable_version()->set_index(world.epoch);
@@ -94,14 +94,14 @@
     forgetOldEpochs(side.ownership, side.map);
 }
 
-void giveTo(World &world, std::size_t owner)
+void assignTo(World &world, std::size_t owner)
 {
     world.owner = owner;
     world.epoch++;
     world.moving = false;
     for (Side &side : world.sides) {
-        if (!side.cut) {
-            tellOwner(world, side);
+        if (!side.isPartitioned) {
+            sendOwner(world, side);
         }
     }
 }
@@ -114,20 +114,20 @@
         }
     }
     side.ownership.held[Service] = currentlyHeld(side.orders, world.now);
-    const bool ended = world.without == Without::Predecessor || world.now >= side.startedAt + LeaseLength;
-    side.ownership.predecessorGrantsExpired = ended;
+    const bool hasExpired = world.without == Without::Predecessor || world.now >= side.startedAt + LeaseLength;
+    side.ownership.predecessorGrantsExpired = hasExpired;
 }
 
 /** The agent's turn: orders that are due, and slices that it can give back. */
-void act(World &world, std::size_t number)
+void runAgent(World &world, std::size_t number)
 {
     Side &side = world.sides.at(number);
     const auto slice = findSlice(side.map, Service, 0);
     std::vector<WantedKeys> wanted;
     std::vector<HeldRange> unwanted;
     const SliceKey key{Service, 0, slice ? slice->epoch : 0};
-    const bool given = side.ownership.revoked.contains(key) || side.ownership.released.contains(key);
-    if (slice && slice->owner == number + 1 && !given) {
+    const bool isGivenUp = side.ownership.revoked.contains(key) || side.ownership.released.contains(key);
+    if (slice && slice->owner == number + 1 && !isGivenUp) {
         wanted.push_back({{0, LastHash, slice->epoch}, {}});
     }
     for (const SliceKey &revoked : side.ownership.revoked) {
@@ -139,18 +139,18 @@
         side.sent.push_back({order});
     }
     publish(world, side);
-    if (side.cut) {
+    if (side.isPartitioned) {
         return;
     }
     const wire::Released released = takeReleased(side.ownership, side.map);
     const bool isCurrent = released.slices_size() > 0 && released.slices(0).epoch() == world.epoch;
     if (isCurrent && world.owner == number) {
-        giveTo(world, 1 - number);
+        assignTo(world, 1 - number);
     }
 }
 
 /** An upstream carries an order out, its time counted from its arrival. */
-OrderOutcome carryOut(World &world, Process &process, const GrantOrder &order)
+OrderOutcome execute(World &world, Process &process, const GrantOrder &order)
 {
     if (order.kind == OrderKind::Release) {
         if (process.epoch <= order.range.epoch) {
@@ -177,31 +177,31 @@
         for (Sent &sent : side.sent) {
             if (!sent.late) {
                 sent.late = true;
-                const bool believed =
+                const bool treatAsDone =
                     world.without == Without::AnswerOfRelease && sent.order.kind == OrderKind::Release;
                 recordOrderOutcome(
-                    side.orders, sent.order.id, believed ? OrderOutcome::Done : OrderOutcome::Unknown, world.now);
+                    side.orders, sent.order.id, treatAsDone ? OrderOutcome::Done : OrderOutcome::Unknown, world.now);
             }
         }
         std::erase_if(side.sent, [&](const Sent &sent) {
             return world.now - sent.order.sentAt > LeaseLength;
         });
-        if (!side.cut) {
+        if (!side.isPartitioned) {
             side.leaseUntil = world.now + LeaseLength;
             world.renewedAt.at(number) = world.now;
         }
     }
-    const bool ownerIsCut = world.sides.at(world.owner).cut;
-    if (ownerIsCut && world.now > world.renewedAt.at(world.owner) + LeaseLength + Margin) {
-        giveTo(world, 1 - world.owner);
+    const bool ownerIsPartitioned = world.sides.at(world.owner).isPartitioned;
+    if (ownerIsPartitioned && world.now > world.renewedAt.at(world.owner) + LeaseLength + ReassignMargin) {
+        assignTo(world, 1 - world.owner);
     }
 }
 
-void answer(World &world, Side &side, std::size_t index, bool told)
+void answer(World &world, Side &side, std::size_t index, bool isDelivered)
 {
     const Sent sent = side.sent.at(index);
-    const OrderOutcome outcome = carryOut(world, side.process, sent.order);
-    if (told) {
+    const OrderOutcome outcome = execute(world, side.process, sent.order);
+    if (isDelivered) {
         side.sent.erase(side.sent.begin() + static_cast<std::ptrdiff_t>(index));
         recordOrderOutcome(side.orders, sent.order.id, outcome, world.now);
         return;
@@ -230,13 +230,13 @@
     side.ownership.ownUpstreams = {static_cast<std::uint32_t>(number + 1)};
     side.map = RouteMap{};
     side.startedAt = world.now;
-    side.leaseUntil = side.cut ? BootTime() : world.now + LeaseLength;
+    side.leaseUntil = side.isPartitioned ? BootTime() : world.now + LeaseLength;
     for (Sent &sent : side.sent) {
         sent.late = true;
     }
-    if (!side.cut) {
+    if (!side.isPartitioned) {
         world.renewedAt.at(number) = world.now;
-        tellOwner(world, side);
+        sendOwner(world, side);
         if (world.moving && world.owner == number) {
             beginMove(world);
         }
@@ -252,13 +252,13 @@
     side.sent.clear();
     forgetAll(side.orders);
     publish(world, side);
-    if (world.owner == number && !side.cut) {
-        giveTo(world, number);
+    if (world.owner == number && !side.isPartitioned) {
+        assignTo(world, number);
     }
 }
 
 /** Does the event of that number, if there is one. @return whether there was */
-bool happen(World &world, unsigned event)
+bool applyEvent(World &world, unsigned event)
 {
     unsigned number = event;
     if (number-- == 0) {
@@ -266,7 +266,7 @@
         return true;
     }
     if (number-- == 0) {
-        if (!world.moving && !world.sides.at(world.owner).cut) {
+        if (!world.moving && !world.sides.at(world.owner).isPartitioned) {
             beginMove(world);
         }
         return true;
@@ -274,9 +274,9 @@
     for (std::size_t place = 0; place < Sides; ++place) {
         Side &side = world.sides.at(place);
         if (number-- == 0) {
-            side.cut = !side.cut;
-            if (!side.cut) {
-                tellOwner(world, side);
+            side.isPartitioned = !side.isPartitioned;
+            if (!side.isPartitioned) {
+                sendOwner(world, side);
             }
             return true;
         }
@@ -322,7 +322,7 @@
     for (std::size_t number = 0; number < Sides; ++number) {
         const Side &side = world.sides.at(number);
         text << '|' << side.process.epoch << ',' << side.process.highestSeen << ',' << since(side.process.until) << ','
-             << since(side.leaseUntil) << ',' << since(world.renewedAt.at(number)) << ',' << side.cut
+             << since(side.leaseUntil) << ',' << since(world.renewedAt.at(number)) << ',' << side.isPartitioned
              << std::max<std::int64_t>(since(side.startedAt), -2000) << side.map.version.index();
         for (const Sent &sent : side.sent) {
             text << ';' << static_cast<int>(sent.order.kind) << sent.order.range.epoch << ','
@@ -341,7 +341,7 @@
 struct Exploration {
     std::size_t states = 0;
     /** The first order of events after which two upstreams held the keys. */
-    std::optional<std::vector<unsigned>> broken;
+    std::optional<std::vector<unsigned>> violation;
 };
 
 void explore(const World &world,
@@ -350,18 +350,18 @@
              std::vector<std::unordered_set<std::string>> &seen,
              Exploration &found)
 {
-    for (unsigned event = 0; !found.broken; ++event) {
+    for (unsigned event = 0; !found.violation; ++event) {
         World next = world;
-        if (!happen(next, event)) {
+        if (!applyEvent(next, event)) {
             return;
         }
         path.push_back(event);
         for (std::size_t number = 0; number < Sides; ++number) {
-            act(next, number);
+            runAgent(next, number);
         }
         found.states++;
         if (holds(next, 0) && holds(next, 1)) {
-            found.broken = path;
+            found.violation = path;
         } else if (depth > 1 && seen.at(depth).insert(fingerprint(next)).second) {
             explore(next, depth - 1, path, seen, found);
         }
@@ -381,14 +381,14 @@
     }
     world.restarts = 0;
     // The owner has its keys before anything happens.
-    act(world, 0);
+    runAgent(world, 0);
     answer(world, world.sides.at(0), 0, true);
-    act(world, 0);
+    runAgent(world, 0);
     REQUIRE(holds(world, 0));
     for (const unsigned event : before) {
-        REQUIRE(happen(world, event));
-        act(world, 0);
-        act(world, 1);
+        REQUIRE(applyEvent(world, event));
+        runAgent(world, 0);
+        runAgent(world, 1);
     }
     Exploration found;
     std::vector<unsigned> path;
@@ -410,20 +410,20 @@
     const Exploration found = explored(Without::Nothing, Depth);
     std::printf("grants by call: %zu states to depth %u\n", found.states, Depth);
     REQUIRE(found.states > 1000);
-    INFO(Catch::Detail::stringify(found.broken.value_or(std::vector<unsigned>())));
-    REQUIRE_FALSE(found.broken);
+    INFO(Catch::Detail::stringify(found.violation.value_or(std::vector<unsigned>())));
+    REQUIRE_FALSE(found.violation);
 }
 
 TEST_CASE("grants by call: the explorer finds what each guard prevents")
 {
     constexpr unsigned Depth = 9;
-    REQUIRE(explored(Without::UnansweredGrants, Depth).broken);
-    REQUIRE(explored(Without::AnswerOfRelease, Depth).broken);
-    REQUIRE(explored(Without::Predecessor, Depth).broken);
+    REQUIRE(explored(Without::UnansweredGrants, Depth).violation);
+    REQUIRE(explored(Without::AnswerOfRelease, Depth).violation);
+    REQUIRE(explored(Without::Predecessor, Depth).violation);
     // Cut off from control for most of its lease.
-    const std::vector<unsigned> cutOff{2, 0, 0, 0, 0, 0};
-    REQUIRE(explored(Without::LeaseBound, Depth, cutOff).broken);
-    const auto broken = explored(Without::Nothing, Depth - 1, cutOff).broken;
-    INFO(Catch::Detail::stringify(broken.value_or(std::vector<unsigned>())));
-    REQUIRE_FALSE(broken);
+    const std::vector<unsigned> partitioned{2, 0, 0, 0, 0, 0};
+    REQUIRE(explored(Without::LeaseBound, Depth, partitioned).violation);
+    const auto violation = explored(Without::Nothing, Depth - 1, partitioned).violation;
+    INFO(Catch::Detail::stringify(violation.value_or(std::vector<unsigned>())));
+    REQUIRE_FALSE(violation);
 }
--- a/tests/GrantOrdersTest.cpp
+++ b/tests/GrantOrdersTest.cpp
@@ -17,22 +17,22 @@
     BootTime now = Start;
     BootTime leaseUntil = Start + 1h;
 
-    std::vector<GrantOrder> want(const std::vector<WantedKeys> &wanted, const std::vector<HeldRange> &unwanted = {})
+    std::vector<GrantOrder> takeDue(const std::vector<WantedKeys> &wanted, const std::vector<HeldRange> &unwanted = {})
     {
         return takeDueOrders(this->orders, wanted, unwanted, this->leaseUntil, this->now);
     }
 
-    GrantOrder grantOnly(const HeldRange &range = Keys)
+    GrantOrder takeOnlyGrant(const HeldRange &range = Keys)
     {
-        const std::vector<GrantOrder> due = this->want({{range, {}}});
+        const std::vector<GrantOrder> due = this->takeDue({{range, {}}});
         REQUIRE(due.size() == 1);
         REQUIRE(due.front().kind == OrderKind::Grant);
         return due.front();
     }
 
-    void end(const GrantOrder &order, OrderOutcome how)
+    void recordOutcome(const GrantOrder &order, OrderOutcome outcome)
     {
-        recordOrderOutcome(this->orders, order.id, how, this->now);
+        recordOrderOutcome(this->orders, order.id, outcome, this->now);
     }
 
     std::vector<HeldRange> held()
@@ -40,7 +40,7 @@
         return currentlyHeld(this->orders, this->now);
     }
 
-    bool surely()
+    bool isConfirmed()
     {
         const std::vector<HeldRange> ranges = this->held();
         return !ranges.empty() && ranges.front().confirmed;
@@ -52,20 +52,20 @@
 TEST_CASE("grants by call: keys are held for sure only from the answer on, and renewed before they run out")
 {
     Upstream upstream;
-    const GrantOrder first = upstream.grantOnly();
+    const GrantOrder first = upstream.takeOnlyGrant();
     REQUIRE(upstream.held().size() == 1);
-    REQUIRE_FALSE(upstream.surely());
-    REQUIRE(upstream.want({{Keys, {}}}).empty());
+    REQUIRE_FALSE(upstream.isConfirmed());
+    REQUIRE(upstream.takeDue({{Keys, {}}}).empty());
     upstream.now += 5ms;
-    upstream.end(first, OrderOutcome::Done);
-    REQUIRE(upstream.surely());
-    REQUIRE(upstream.want({{Keys, {}}}).empty());
+    upstream.recordOutcome(first, OrderOutcome::Done);
+    REQUIRE(upstream.isConfirmed());
+    REQUIRE(upstream.takeDue({{Keys, {}}}).empty());
     const BootTime next = nextCheckAt(upstream.orders, upstream.now);
     REQUIRE(next > upstream.now);
     REQUIRE(next < Start + upstream.orders.times.grantDuration);
     upstream.now = next;
-    upstream.end(upstream.grantOnly(), OrderOutcome::Done);
-    REQUIRE(upstream.surely());
+    upstream.recordOutcome(upstream.takeOnlyGrant(), OrderOutcome::Done);
+    REQUIRE(upstream.isConfirmed());
 }
 
 /*
@@ -76,15 +76,15 @@
 {
     Upstream upstream;
     upstream.leaseUntil = Start + 1000ms;
-    const GrantOrder order = upstream.grantOnly();
+    const GrantOrder order = upstream.takeOnlyGrant();
     const GrantTimes &times = upstream.orders.times;
     const auto latest =
         order.sentAt + times.grantTimeout
         + std::chrono::milliseconds(static_cast<int>(static_cast<double>(order.holdFor.count()) * 1.02));
     REQUIRE(latest <= upstream.leaseUntil);
-    upstream.end(order, OrderOutcome::Done);
+    upstream.recordOutcome(order, OrderOutcome::Done);
     upstream.now = Start + 700ms;
-    REQUIRE(upstream.want({{Keys, {}}}).empty());
+    REQUIRE(upstream.takeDue({{Keys, {}}}).empty());
 }
 
 /*
@@ -95,19 +95,19 @@
 TEST_CASE("grants by call: after a release, keys stay taken until a grant without an answer has run out")
 {
     Upstream upstream;
-    upstream.end(upstream.grantOnly(), OrderOutcome::Done);
+    upstream.recordOutcome(upstream.takeOnlyGrant(), OrderOutcome::Done);
     upstream.now = Start + 800ms;
-    const GrantOrder lost = upstream.grantOnly();
+    const GrantOrder lost = upstream.takeOnlyGrant();
     upstream.now += upstream.orders.times.grantTimeout;
-    upstream.end(lost, OrderOutcome::Unknown);
-    upstream.now += upstream.orders.times.retryAfter;
-    const std::vector<GrantOrder> release = upstream.want({}, {Keys});
+    upstream.recordOutcome(lost, OrderOutcome::Unknown);
+    upstream.now += upstream.orders.times.retryDelay;
+    const std::vector<GrantOrder> release = upstream.takeDue({}, {Keys});
     REQUIRE(release.size() == 1);
     REQUIRE(release.front().kind == OrderKind::Release);
-    upstream.end(release.front(), OrderOutcome::Done);
+    upstream.recordOutcome(release.front(), OrderOutcome::Done);
     REQUIRE(upstream.held().size() == 1);
-    REQUIRE_FALSE(upstream.surely());
-    REQUIRE(upstream.want({}, {Keys}).empty());
+    REQUIRE_FALSE(upstream.isConfirmed());
+    REQUIRE(upstream.takeDue({}, {Keys}).empty());
     upstream.now = lost.sentAt + upstream.orders.times.grantDuration;
     REQUIRE(upstream.held().size() == 1);
     upstream.now += upstream.orders.times.grantTimeout + 50ms;
@@ -117,10 +117,10 @@
 TEST_CASE("grants by call: an answered release frees its part at once, and the rest stays held")
 {
     Upstream upstream;
-    upstream.end(upstream.grantOnly(), OrderOutcome::Done);
-    const std::vector<GrantOrder> release = upstream.want({}, {{200, 299, 4}});
+    upstream.recordOutcome(upstream.takeOnlyGrant(), OrderOutcome::Done);
+    const std::vector<GrantOrder> release = upstream.takeDue({}, {{200, 299, 4}});
     REQUIRE(release.size() == 1);
-    upstream.end(release.front(), OrderOutcome::Done);
+    upstream.recordOutcome(release.front(), OrderOutcome::Done);
     const std::vector<HeldRange> held = upstream.held();
     REQUIRE(held.size() == 2);
     REQUIRE(held[0] == HeldRange{0, 199, 4});
@@ -130,15 +130,15 @@
 TEST_CASE("grants by call: a release without an answer frees nothing and is sent again after a pause")
 {
     Upstream upstream;
-    upstream.end(upstream.grantOnly(), OrderOutcome::Done);
-    const std::vector<GrantOrder> release = upstream.want({}, {Keys});
+    upstream.recordOutcome(upstream.takeOnlyGrant(), OrderOutcome::Done);
+    const std::vector<GrantOrder> release = upstream.takeDue({}, {Keys});
     REQUIRE(release.size() == 1);
     upstream.now += upstream.orders.times.releaseTimeout;
-    upstream.end(release.front(), OrderOutcome::Unknown);
+    upstream.recordOutcome(release.front(), OrderOutcome::Unknown);
     REQUIRE(upstream.held().size() == 1);
-    REQUIRE(upstream.want({}, {Keys}).empty());
-    upstream.now += upstream.orders.times.retryAfter;
-    REQUIRE(upstream.want({}, {Keys}).size() == 1);
+    REQUIRE(upstream.takeDue({}, {Keys}).empty());
+    upstream.now += upstream.orders.times.retryDelay;
+    REQUIRE(upstream.takeDue({}, {Keys}).size() == 1);
 }
 
 /*
@@ -148,10 +148,10 @@
 TEST_CASE("grants by call: a grant refused as outdated is not sent again under that epoch")
 {
     Upstream upstream;
-    upstream.end(upstream.grantOnly(), OrderOutcome::Outdated);
+    upstream.recordOutcome(upstream.takeOnlyGrant(), OrderOutcome::Outdated);
     upstream.now += 10s;
-    REQUIRE(upstream.want({{Keys, {}}}).empty());
-    REQUIRE(upstream.want({{{0, 999, 5}, {}}}).size() == 1);
+    REQUIRE(upstream.takeDue({{Keys, {}}}).empty());
+    REQUIRE(upstream.takeDue({{{0, 999, 5}, {}}}).size() == 1);
 }
 
 /*
@@ -161,29 +161,29 @@
 TEST_CASE("grants by call: a disowned key isn't held any more, and is granted again at once")
 {
     Upstream upstream;
-    upstream.end(upstream.grantOnly(), OrderOutcome::Done);
+    upstream.recordOutcome(upstream.takeOnlyGrant(), OrderOutcome::Done);
     recordKeyNotHeld(upstream.orders, 500);
-    REQUIRE_FALSE(upstream.surely());
-    upstream.end(upstream.grantOnly(), OrderOutcome::Done);
-    REQUIRE(upstream.surely());
+    REQUIRE_FALSE(upstream.isConfirmed());
+    upstream.recordOutcome(upstream.takeOnlyGrant(), OrderOutcome::Done);
+    REQUIRE(upstream.isConfirmed());
 }
 
 TEST_CASE("grants by call: an upstream that doesn't answer is not asked without a pause")
 {
     Upstream upstream;
-    upstream.end(upstream.grantOnly(), OrderOutcome::NotReceived);
-    REQUIRE(upstream.want({{Keys, {}}}).empty());
-    REQUIRE(nextCheckAt(upstream.orders, upstream.now) == upstream.now + upstream.orders.times.retryAfter);
-    upstream.now += upstream.orders.times.retryAfter;
-    REQUIRE(upstream.want({{Keys, {}}}).size() == 1);
+    upstream.recordOutcome(upstream.takeOnlyGrant(), OrderOutcome::NotReceived);
+    REQUIRE(upstream.takeDue({{Keys, {}}}).empty());
+    REQUIRE(nextCheckAt(upstream.orders, upstream.now) == upstream.now + upstream.orders.times.retryDelay);
+    upstream.now += upstream.orders.times.retryDelay;
+    REQUIRE(upstream.takeDue({{Keys, {}}}).size() == 1);
 }
 
 TEST_CASE("grants by call: a process that has ended holds nothing, and answers to its orders change nothing")
 {
     Upstream upstream;
-    const GrantOrder order = upstream.grantOnly();
+    const GrantOrder order = upstream.takeOnlyGrant();
     forgetAll(upstream.orders);
-    upstream.end(order, OrderOutcome::Done);
+    upstream.recordOutcome(order, OrderOutcome::Done);
     REQUIRE(upstream.held().empty());
     REQUIRE(nextCheckAt(upstream.orders, upstream.now) == BootTime::max());
 }
--- a/tests/OwnershipTest.cpp
+++ b/tests/OwnershipTest.cpp
@@ -20,7 +20,7 @@
     return change;
 }
 
-void give(wire::StateUpdate &change, std::uint64_t begin, std::uint32_t owner, std::uint64_t epoch)
+void assign(wire::StateUpdate &change, std::uint64_t begin, std::uint32_t owner, std::uint64_t epoch)
 {
     if (change.services().empty()) {
         change.add_services()->set_service("catalogue");
@@ -40,8 +40,8 @@
     Agent()
     {
         wire::StateUpdate state = update(1, true);
-        give(state, 0, 7, 1);
-        give(state, Half, 8, 1);
+        assign(state, 0, 7, 1);
+        assign(state, Half, 8, 1);
         agent::apply(this->map, state);
         this->ownership.ownUpstreams = {7};
         this->lease.validUntil = Now + 500ms;
@@ -103,7 +103,7 @@
     Agent agent;
     agent::beginWork(agent.ownership, "catalogue", 100);
     wire::StateUpdate split = update(2, false);
-    give(split, 50, 7, 2);
+    assign(split, 50, 7, 2);
     agent::apply(agent.map, split);
     agent.revoke(50, 2);
     REQUIRE(agent::takeReleased(agent.ownership, agent.map).slices().empty());
@@ -127,7 +127,7 @@
     REQUIRE(agent::resumeReleased(agent.ownership, agent.map).slices_size() == 1);
     REQUIRE(agent.check(5) == agent::OwnershipRefusal::Moving);
     wire::StateUpdate regrant = update(3, false);
-    give(regrant, 0, 7, 2);
+    assign(regrant, 0, 7, 2);
     agent::apply(agent.map, regrant);
     REQUIRE(agent.check(5) == agent::OwnershipRefusal::None);
     REQUIRE(agent::resumeReleased(agent.ownership, agent.map).slices().empty());
