--- a/tests/RequestStepTest.cpp
+++ b/tests/RequestStepTest.cpp
@@ -25,15 +25,15 @@
     pcg32 random{7};
     BootTime now = Start;
     /** Attempts handed to an upstream and neither ended nor cancelled. */
-    std::map<unsigned, bool> handedOn;
+    std::map<unsigned, bool> sentAttempts;
     /** Whether any part of the request may have run. */
     bool mayHaveRun = false;
     bool granted = false;
-    bool callerGone = false;
+    bool callerDisconnected = false;
     unsigned answers = 0;
     unsigned records = 0;
     bool released = false;
-    std::string story;
+    std::string history;
 
     bool hasEnded() const
     {
@@ -44,17 +44,17 @@
 void check(World &world, bool holds, const char *rule)
 {
     if (!holds) {
-        FAIL(rule << " broken after:" << world.story);
+        FAIL(rule << " broken after:" << world.history);
     }
 }
 
-void handOn(World &world, const RequestAction &action)
+void send(World &world, const RequestAction &action)
 {
-    const bool alone = world.handedOn.empty() && !world.mayHaveRun;
-    check(world, alone || isIdempotent(world.state.facts.method), "a non-idempotent request is sent once");
+    const bool isOnlySend = world.sentAttempts.empty() && !world.mayHaveRun;
+    check(world, isOnlySend || isIdempotent(world.state.facts.method), "a non-idempotent request is sent once");
     check(world, world.granted || !world.state.facts.claimed, "a claimed request waits for its claim");
     check(world, world.now < world.state.facts.deadline, "nothing is sent after the deadline");
-    world.handedOn[action.attempt] = true;
+    world.sentAttempts[action.attempt] = true;
 }
 
 void answer(World &world, const RequestAction &action)
@@ -72,16 +72,16 @@
 }
 
 /** Carries out an action as far as the rules care. */
-void carryOut(World &world, const RequestAction &action)
+void applyAction(World &world, const RequestAction &action)
 {
     switch (action.kind) {
     case ActionKind::Dispatch:
     case ActionKind::Forward:
-        handOn(world, action);
+        send(world, action);
         break;
     case ActionKind::Cancel:
         // A cancelled attempt may have run, and may still.
-        world.mayHaveRun |= world.handedOn.erase(action.attempt) > 0;
+        world.mayHaveRun |= world.sentAttempts.erase(action.attempt) > 0;
         break;
     case ActionKind::Relay:
     case ActionKind::RelayRecorded:
@@ -105,28 +105,28 @@
     if (!world.hasEnded()) {
         return;
     }
-    check(world, world.answers == 1 || world.callerGone, "an ended request was answered");
-    check(world, world.handedOn.empty(), "no attempt outlives its request");
+    check(world, world.answers == 1 || world.callerDisconnected, "an ended request was answered");
+    check(world, world.sentAttempts.empty(), "no attempt outlives its request");
     check(world, !world.granted || world.records == 1, "a granted claim gets its outcome");
 }
 
-void act(World &world, const RequestEvent &event, const std::string &name)
+void applyEvent(World &world, const RequestEvent &event, const std::string &name)
 {
-    world.story += " " + name;
+    world.history += " " + name;
     if (event.kind == EventKind::CallerDisconnected) {
-        world.callerGone = true;
+        world.callerDisconnected = true;
     }
     if (event.kind == EventKind::ClaimAnswered && event.claim == ClaimAnswer::Granted) {
         world.granted = true;
     }
-    if (event.kind == EventKind::AttemptEnded && world.handedOn.erase(event.attempt) > 0) {
+    if (event.kind == EventKind::AttemptEnded && world.sentAttempts.erase(event.attempt) > 0) {
         world.mayHaveRun |= event.mayHaveRun;
     }
     const RequestContext context{&world.retries, &world.hedges, &world.random};
     std::vector<RequestAction> actions = step(world.state, event, world.now, context);
     // A cancelled or refused attempt counts before the answer that follows from it.
     for (const RequestAction &action : actions) {
-        carryOut(world, action);
+        applyAction(world, action);
     }
     checkRules(world);
 }
@@ -136,9 +136,9 @@
     std::string name;
 };
 
-void addEnds(const World &world, std::vector<NamedEvent> &events)
+void addOutcomes(const World &world, std::vector<NamedEvent> &events)
 {
-    for (const auto &entry : world.handedOn) {
+    for (const auto &entry : world.sentAttempts) {
         const unsigned attempt = entry.first;
         const std::string id = std::to_string(attempt);
         const auto add = [&](AttemptOutcome outcome, bool ran) {
@@ -156,7 +156,7 @@
 }
 
 /** @return every event that can come up now, faults included */
-std::vector<NamedEvent> possible(const World &world)
+std::vector<NamedEvent> possibleEvents(const World &world)
 {
     std::vector<NamedEvent> events{{{.kind = EventKind::DeadlinePassed}, "deadline"},
                                    {{.kind = EventKind::CallerDisconnected}, "gone"}};
@@ -189,10 +189,10 @@
                  "shed"});
         }
     }
-    if (!world.handedOn.empty() && !world.state.hedged) {
+    if (!world.sentAttempts.empty() && !world.state.hedged) {
         events.push_back({{.kind = EventKind::HedgeDue}, "hedge"});
     }
-    addEnds(world, events);
+    addOutcomes(world, events);
     return events;
 }
 
@@ -201,14 +201,15 @@
 {
     if (depth == 0 || world.hasEnded()) {
         World late = world;
-        act(late, {.kind = EventKind::ClaimAnswered, .claim = ClaimAnswer::Unavailable}, "late-claim");
-        act(late, {.kind = EventKind::AttemptEnded, .attempt = 1, .outcome = AttemptOutcome::Answered}, "late-answer");
+        applyEvent(late, {.kind = EventKind::ClaimAnswered, .claim = ClaimAnswer::Unavailable}, "late-claim");
+        applyEvent(
+            late, {.kind = EventKind::AttemptEnded, .attempt = 1, .outcome = AttemptOutcome::Answered}, "late-answer");
         return 1;
     }
     unsigned orders = 0;
-    for (const NamedEvent &next : possible(world)) {
+    for (const NamedEvent &next : possibleEvents(world)) {
         World branch = world;
-        act(branch, next.event, next.name);
+        applyEvent(branch, next.event, next.name);
         orders += explore(branch, depth - 1);
     }
     return orders;
@@ -230,11 +231,11 @@
 World accepted(const std::string &method, bool keyed, bool claimed, bool forwarded = false)
 {
     World world = fresh(method, keyed, claimed, forwarded);
-    act(world, {.kind = EventKind::Accepted}, "accepted");
+    applyEvent(world, {.kind = EventKind::Accepted}, "accepted");
     return world;
 }
 
-RequestEvent endOf(unsigned attempt, AttemptOutcome outcome, bool ran)
+RequestEvent attemptEnded(unsigned attempt, AttemptOutcome outcome, bool ran)
 {
     return {.kind = EventKind::AttemptEnded, .attempt = attempt, .outcome = outcome, .mayHaveRun = ran};
 }
@@ -259,8 +260,8 @@
 TEST_CASE("a claim granted to a request that has ended is given back")
 {
     World world = accepted("POST", true, true);
-    act(world, {.kind = EventKind::CallerDisconnected}, "gone");
-    act(world, {.kind = EventKind::ClaimAnswered, .claim = ClaimAnswer::Granted}, "granted");
+    applyEvent(world, {.kind = EventKind::CallerDisconnected}, "gone");
+    applyEvent(world, {.kind = EventKind::ClaimAnswered, .claim = ClaimAnswer::Granted}, "granted");
     REQUIRE(world.records == 1);
     REQUIRE(world.released);
 }
@@ -269,15 +270,15 @@
 TEST_CASE("a request waits through a move as long as its deadline allows")
 {
     World world = accepted("POST", true, false);
-    act(world, {.kind = EventKind::Routed, .upstream = Far}, "far");
+    applyEvent(world, {.kind = EventKind::Routed, .upstream = Far}, "far");
     for (unsigned attempt = 1; attempt <= 20; attempt++) {
-        act(world, endOf(attempt, AttemptOutcome::NotOwner, false), "not-owner");
+        applyEvent(world, attemptEnded(attempt, AttemptOutcome::NotOwner, false), "not-owner");
         REQUIRE(world.state.stage == Stage::Waiting);
         world.now += 25ms;
-        act(world, {.kind = EventKind::Woken}, "woken");
-        act(world, {.kind = EventKind::Routed, .upstream = Far}, "far");
+        applyEvent(world, {.kind = EventKind::Woken}, "woken");
+        applyEvent(world, {.kind = EventKind::Routed, .upstream = Far}, "far");
     }
-    act(world, endOf(21, AttemptOutcome::Answered, true), "answered");
+    applyEvent(world, attemptEnded(21, AttemptOutcome::Answered, true), "answered");
     REQUIRE(world.answers == 1);
     REQUIRE(world.state.ran == Ran::Yes);
 }
@@ -288,11 +289,11 @@
 {
     World world = accepted("POST", true, false);
     for (unsigned attempt = 1; attempt <= 20; attempt++) {
-        act(world, {.kind = EventKind::Routed, .upstream = Far}, "far");
-        act(world, endOf(attempt, AttemptOutcome::NotSent, false), "not-sent");
+        applyEvent(world, {.kind = EventKind::Routed, .upstream = Far}, "far");
+        applyEvent(world, attemptEnded(attempt, AttemptOutcome::NotSent, false), "not-sent");
         REQUIRE(world.state.stage == Stage::Waiting);
         world.now += 25ms;
-        act(world, {.kind = EventKind::Woken}, "woken");
+        applyEvent(world, {.kind = EventKind::Woken}, "woken");
     }
     REQUIRE(world.retries.tokens == 10);
 }
@@ -307,12 +308,12 @@
         World world = fresh("GET", true, false, false);
         world.state.facts.queuePriority =
             queuePriorityOf({.targetLatency = 500ms, .timeout = 1200ms, .priority = 1}, Start);
-        act(world, {.kind = EventKind::Accepted}, "accepted");
+        applyEvent(world, {.kind = EventKind::Accepted}, "accepted");
         for (unsigned attempt = 1; !world.hasEnded(); ++attempt) {
-            act(world, {.kind = EventKind::Routed, .upstream = Far}, "far");
-            act(world, endOf(attempt, outcome, false), "ended");
+            applyEvent(world, {.kind = EventKind::Routed, .upstream = Far}, "far");
+            applyEvent(world, attemptEnded(attempt, outcome, false), "ended");
             world.now += 10ms;
-            act(world, {.kind = EventKind::Woken}, "woken");
+            applyEvent(world, {.kind = EventKind::Woken}, "woken");
         }
         return world.now - Start;
     };
@@ -324,8 +325,8 @@
 TEST_CASE("a request of an unkeyed service asks another upstream at once when one has left")
 {
     World world = accepted("POST", false, false);
-    act(world, {.kind = EventKind::Routed, .upstream = Far}, "far");
-    act(world, endOf(1, AttemptOutcome::NotOwner, false), "not-owner");
+    applyEvent(world, {.kind = EventKind::Routed, .upstream = Far}, "far");
+    applyEvent(world, attemptEnded(1, AttemptOutcome::NotOwner, false), "not-owner");
     REQUIRE(world.state.stage == Stage::Running);
     REQUIRE(world.state.tried == std::vector<std::uint32_t>{Far});
 }
@@ -346,9 +347,9 @@
 TEST_CASE("nothing is dispatched after its deadline")
 {
     World world = accepted("POST", true, false);
-    act(world, {.kind = EventKind::Routed, .upstream = Near, .local = true}, "near");
+    applyEvent(world, {.kind = EventKind::Routed, .upstream = Near, .local = true}, "near");
     world.now = Start + 1s;
-    act(world, {.kind = EventKind::Admitted, .attempt = 1}, "admitted");
+    applyEvent(world, {.kind = EventKind::Admitted, .attempt = 1}, "admitted");
     REQUIRE(world.hasEnded());
     REQUIRE(world.state.ran == Ran::No);
 }
@@ -359,13 +360,13 @@
     World world = accepted("GET", false, false);
     world.retries.tokens = 1;
     world.hedges.tokens = 0;
-    act(world, {.kind = EventKind::Routed, .upstream = Far}, "far");
-    act(world, {.kind = EventKind::HedgeDue}, "hedge");
+    applyEvent(world, {.kind = EventKind::Routed, .upstream = Far}, "far");
+    applyEvent(world, {.kind = EventKind::HedgeDue}, "hedge");
     REQUIRE_FALSE(world.state.hedged);
-    act(world, endOf(1, AttemptOutcome::ConnectionLost, true), "broken");
+    applyEvent(world, attemptEnded(1, AttemptOutcome::ConnectionLost, true), "broken");
     REQUIRE_FALSE(world.hasEnded());
-    act(world, {.kind = EventKind::Routed, .upstream = Near, .local = true}, "near");
-    act(world, endOf(2, AttemptOutcome::Overloaded, false), "shed");
+    applyEvent(world, {.kind = EventKind::Routed, .upstream = Near, .local = true}, "near");
+    applyEvent(world, attemptEnded(2, AttemptOutcome::Overloaded, false), "shed");
     REQUIRE(world.hasEnded());
     REQUIRE(world.state.ran == Ran::Unknown);
 }
@@ -378,13 +379,13 @@
 {
     World world = accepted("GET", true, false);
     world.retries.tokens = 1;
-    act(world, {.kind = EventKind::Routed, .upstream = Far}, "far");
-    act(world, endOf(1, AttemptOutcome::KeyNotHeld, false), "disowned");
+    applyEvent(world, {.kind = EventKind::Routed, .upstream = Far}, "far");
+    applyEvent(world, attemptEnded(1, AttemptOutcome::KeyNotHeld, false), "disowned");
     REQUIRE(world.state.stage == Stage::Waiting);
     REQUIRE(world.retries.tokens == 0);
-    act(world, {.kind = EventKind::Woken}, "woken");
-    act(world, {.kind = EventKind::Routed, .upstream = Far}, "far");
-    act(world, endOf(2, AttemptOutcome::KeyNotHeld, false), "disowned");
+    applyEvent(world, {.kind = EventKind::Woken}, "woken");
+    applyEvent(world, {.kind = EventKind::Routed, .upstream = Far}, "far");
+    applyEvent(world, attemptEnded(2, AttemptOutcome::KeyNotHeld, false), "disowned");
     REQUIRE(world.hasEnded());
     REQUIRE(world.state.ran == Ran::No);
 }
@@ -409,18 +410,18 @@
     std::vector<std::size_t> repeats(Seconds);
     for (std::size_t number = 0; number < PerSecond * Seconds; ++number) {
         const std::size_t origin = random(Agents);
-        const RequestContext there{&budgets[(origin + 1) % Agents], &hedges[origin], &random};
-        const RequestContext here{&budgets[origin], &hedges[origin], &random};
+        const RequestContext forwardedContext{&budgets[(origin + 1) % Agents], &hedges[origin], &random};
+        const RequestContext originContext{&budgets[origin], &hedges[origin], &random};
         World forwarded = fresh("GET", true, false, true);
-        step(forwarded.state, {.kind = EventKind::Accepted}, forwarded.now, there);
+        step(forwarded.state, {.kind = EventKind::Accepted}, forwarded.now, forwardedContext);
         World world = fresh("GET", true, false, false);
-        step(world.state, {.kind = EventKind::Accepted}, world.now, here);
+        step(world.state, {.kind = EventKind::Accepted}, world.now, originContext);
         for (unsigned attempt = 1; !world.hasEnded(); ++attempt) {
-            step(world.state, {.kind = EventKind::Routed, .upstream = Far}, world.now, here);
+            step(world.state, {.kind = EventKind::Routed, .upstream = Far}, world.now, originContext);
             repeats[number / PerSecond] += attempt > 1 ? 1 : 0;
-            step(world.state, endOf(attempt, AttemptOutcome::KeyNotHeld, false), world.now, here);
+            step(world.state, attemptEnded(attempt, AttemptOutcome::KeyNotHeld, false), world.now, originContext);
             world.now += 20ms;
-            step(world.state, {.kind = EventKind::Woken}, world.now, here);
+            step(world.state, {.kind = EventKind::Woken}, world.now, originContext);
         }
     }
     for (std::size_t first = 0; first + Window <= Seconds; ++first) {
@@ -433,14 +434,14 @@
 TEST_CASE("the first answer of a hedged read wins and the loser is cancelled")
 {
     World world = accepted("GET", false, false);
-    act(world, {.kind = EventKind::Routed, .upstream = Far}, "far");
-    act(world, {.kind = EventKind::HedgeDue}, "hedge");
+    applyEvent(world, {.kind = EventKind::Routed, .upstream = Far}, "far");
+    applyEvent(world, {.kind = EventKind::HedgeDue}, "hedge");
     REQUIRE(world.state.hedged);
-    act(world, {.kind = EventKind::Routed, .upstream = Near, .local = true}, "near");
-    act(world, {.kind = EventKind::Admitted, .attempt = 2}, "admitted");
-    act(world, endOf(2, AttemptOutcome::Answered, true), "answered");
+    applyEvent(world, {.kind = EventKind::Routed, .upstream = Near, .local = true}, "near");
+    applyEvent(world, {.kind = EventKind::Admitted, .attempt = 2}, "admitted");
+    applyEvent(world, attemptEnded(2, AttemptOutcome::Answered, true), "answered");
     REQUIRE(world.answers == 1);
-    REQUIRE(world.handedOn.empty());
+    REQUIRE(world.sentAttempts.empty());
     REQUIRE(world.mayHaveRun);
 }
 
@@ -449,11 +450,11 @@
 TEST_CASE("a claimed request that may be running goes on without its caller")
 {
     World world = accepted("POST", true, true);
-    act(world, {.kind = EventKind::ClaimAnswered, .claim = ClaimAnswer::Granted}, "granted");
-    act(world, {.kind = EventKind::Routed, .upstream = Far}, "far");
-    act(world, {.kind = EventKind::CallerDisconnected}, "gone");
-    REQUIRE(world.handedOn.size() == 1);
-    act(world, endOf(1, AttemptOutcome::Answered, true), "answered");
+    applyEvent(world, {.kind = EventKind::ClaimAnswered, .claim = ClaimAnswer::Granted}, "granted");
+    applyEvent(world, {.kind = EventKind::Routed, .upstream = Far}, "far");
+    applyEvent(world, {.kind = EventKind::CallerDisconnected}, "gone");
+    REQUIRE(world.sentAttempts.size() == 1);
+    applyEvent(world, attemptEnded(1, AttemptOutcome::Answered, true), "answered");
     REQUIRE(world.records == 1);
     REQUIRE_FALSE(world.released);
 }
--- a/tests/RequestTraceTest.cpp
+++ b/tests/RequestTraceTest.cpp
@@ -37,9 +37,11 @@
     return ran == Ran::No ? "no" : ran == Ran::Yes ? "yes" : "unknown";
 }
 
-std::string recordText(ClaimResolution end)
+std::string recordText(ClaimResolution resolution)
 {
-    return end == ClaimResolution::Released ? "released" : end == ClaimResolution::Answered ? "answered" : "unknown";
+    return resolution == ClaimResolution::Released   ? "released"
+           : resolution == ClaimResolution::Answered ? "answered"
+                                                     : "unknown";
 }
 
 /** @return the action as traces state it, such as "forward 2" or "refuse 504 unknown" */
--- a/tests/RetryAfterTest.cpp
+++ b/tests/RetryAfterTest.cpp
@@ -13,16 +13,16 @@
 TEST_CASE("come back: later where an owner is missing than where there is no room, within callers' patience, spread")
 {
     pcg32 random(3);
-    std::set<std::chrono::milliseconds> forRoom;
-    std::set<std::chrono::milliseconds> forOwner;
+    std::set<std::chrono::milliseconds> overloadedDelays;
+    std::set<std::chrono::milliseconds> noOwnerDelays;
     for (int draw = 0; draw < 1000; ++draw) {
-        forRoom.insert(chooseRetryAfter(AttemptOutcome::Overloaded, random));
-        forOwner.insert(chooseRetryAfter(AttemptOutcome::NotOwner, random));
+        overloadedDelays.insert(chooseRetryAfter(AttemptOutcome::Overloaded, random));
+        noOwnerDelays.insert(chooseRetryAfter(AttemptOutcome::NotOwner, random));
     }
     // A third of two seconds is the longest that a caller with that deadline waits.
-    CHECK(*forOwner.rbegin() < 667ms);
-    CHECK(*forOwner.begin() >= 400ms);
-    CHECK(*forRoom.rbegin() <= 500ms);
-    CHECK(forRoom.size() > 200);
-    CHECK(forOwner.size() > 150);
+    CHECK(*noOwnerDelays.rbegin() < 667ms);
+    CHECK(*noOwnerDelays.begin() >= 400ms);
+    CHECK(*overloadedDelays.rbegin() <= 500ms);
+    CHECK(overloadedDelays.size() > 200);
+    CHECK(noOwnerDelays.size() > 150);
 }
--- a/tests/RouterTest.cpp
+++ b/tests/RouterTest.cpp
@@ -10,17 +10,17 @@
 
 constexpr BootTime Start{100s};
 
-std::vector<Candidate> fourAlike()
+std::vector<Candidate> fourEqual()
 {
     return {{1, 1, false}, {2, 1, false}, {3, 1, false}, {4, 1, false}};
 }
 
 std::map<std::uint32_t, unsigned>
-draw(ServiceRouting &routing, const std::vector<Candidate> &candidates, unsigned times, BootTime now)
+countChoices(ServiceRouting &routing, const std::vector<Candidate> &candidates, unsigned times, BootTime now)
 {
     pcg32 random(7);
     std::map<std::uint32_t, unsigned> counts;
-    for (unsigned turn = 0; turn < times; turn++) {
+    for (unsigned choice = 0; choice < times; choice++) {
         counts[choose(routing, candidates, {}, random, now)]++;
     }
     return counts;
@@ -42,7 +42,7 @@
 {
     ServiceRouting routing;
     const std::vector<Candidate> candidates{{1, 3, false}, {2, 1, false}};
-    const auto counts = draw(routing, candidates, 10000, Start);
+    const auto counts = countChoices(routing, candidates, 10000, Start);
     REQUIRE(counts.at(1) > 7300);
     REQUIRE(counts.at(1) < 7700);
 }
@@ -54,16 +54,16 @@
     answerAll(routing, 5, 5ms, Start);
     answerAll(routing, 5, 50ms, Start);
     REQUIRE(isEjected(routing, 1, Start));
-    REQUIRE(draw(routing, fourAlike(), 1000, Start).count(1) == 0);
-    const BootTime back = Start + 300ms;
-    REQUIRE(draw(routing, fourAlike(), 1000, back).at(1) > 0);
+    REQUIRE(countChoices(routing, fourEqual(), 1000, Start).count(1) == 0);
+    const BootTime ejectionEndsAt = Start + 300ms;
+    REQUIRE(countChoices(routing, fourEqual(), 1000, ejectionEndsAt).at(1) > 0);
     recordSent(routing, 1, Start);
-    REQUIRE(draw(routing, fourAlike(), 1000, back).count(1) == 0);
-    recordAnswered(routing, 1, 50ms, 0, back);
-    REQUIRE(isEjected(routing, 1, back + 300ms));
+    REQUIRE(countChoices(routing, fourEqual(), 1000, ejectionEndsAt).count(1) == 0);
+    recordAnswered(routing, 1, 50ms, 0, ejectionEndsAt);
+    REQUIRE(isEjected(routing, 1, ejectionEndsAt + 300ms));
     for (unsigned probe = 0; probe < 3; probe++) {
         recordSent(routing, 1, Start);
-        recordAnswered(routing, 1, 5ms, 0, back + 500ms);
+        recordAnswered(routing, 1, 5ms, 0, ejectionEndsAt + 500ms);
     }
     REQUIRE(routing.health.at(1).probesLeft == 0);
     REQUIRE(routing.health.at(1).ejections == 0);
@@ -84,12 +84,12 @@
                 recordFailed(routing, upstream, 1ms, Start);
             }
         }
-        unsigned out = 0;
+        unsigned ejectedCount = 0;
         for (std::uint32_t upstream = 1; upstream <= 4; upstream++) {
-            out += isEjected(routing, upstream, Start) ? 1 : 0;
+            ejectedCount += isEjected(routing, upstream, Start) ? 1 : 0;
         }
-        REQUIRE(out == (load > 0.5 ? 1 : 2));
-        REQUIRE(draw(routing, fourAlike(), 1000, Start).size() == 4 - out);
+        REQUIRE(ejectedCount == (load > 0.5 ? 1 : 2));
+        REQUIRE(countChoices(routing, fourEqual(), 1000, Start).size() == 4 - ejectedCount);
     }
 }
 
@@ -99,10 +99,10 @@
     ServiceRouting routing;
     answerAll(routing, 5, 5ms, Start);
     recordSent(routing, 1, Start);
-    REQUIRE(draw(routing, fourAlike(), 1000, Start + 10ms).count(1) == 1);
-    REQUIRE(draw(routing, fourAlike(), 1000, Start + 20ms).count(1) == 0);
+    REQUIRE(countChoices(routing, fourEqual(), 1000, Start + 10ms).count(1) == 1);
+    REQUIRE(countChoices(routing, fourEqual(), 1000, Start + 20ms).count(1) == 0);
     recordAnswered(routing, 1, 20ms, 0, Start + 20ms);
-    REQUIRE(draw(routing, fourAlike(), 1000, Start + 20ms).count(1) == 1);
+    REQUIRE(countChoices(routing, fourEqual(), 1000, Start + 20ms).count(1) == 1);
 }
 
 TEST_CASE("an upstream that sheds is avoided for a moment, not ejected")
@@ -114,21 +114,21 @@
         recordShed(routing, 1, Start);
     }
     REQUIRE_FALSE(isEjected(routing, 1, Start));
-    const auto counts = draw(routing, fourAlike(), 1000, Start);
+    const auto counts = countChoices(routing, fourEqual(), 1000, Start);
     REQUIRE((counts.count(1) == 0 || counts.at(1) < 100));
-    REQUIRE(draw(routing, fourAlike(), 1000, Start + 1s).at(1) > 150);
+    REQUIRE(countChoices(routing, fourEqual(), 1000, Start + 1s).at(1) > 150);
 }
 
 TEST_CASE("the local failure domain is preferred among upstreams alike, and not once it is busy")
 {
     ServiceRouting routing;
     const std::vector<Candidate> candidates{{1, 1, true}, {2, 1, false}};
-    REQUIRE(draw(routing, candidates, 1000, Start).at(1) > 700);
+    REQUIRE(countChoices(routing, candidates, 1000, Start).at(1) > 700);
     for (std::uint32_t upstream = 1; upstream <= 2; upstream++) {
         recordSent(routing, upstream, Start);
         recordAnswered(routing, upstream, 5ms, 0.9, Start);
     }
-    REQUIRE(draw(routing, candidates, 1000, Start).at(1) < 600);
+    REQUIRE(countChoices(routing, candidates, 1000, Start).at(1) < 600);
 }
 
 TEST_CASE("a retry goes to another upstream, and nowhere when all were tried")
