--- a/tests/BodyQueueTest.cpp
+++ b/tests/BodyQueueTest.cpp
@@ -16,7 +16,7 @@
 constexpr std::size_t BodyBytes = 60000;
 constexpr auto Step = 1ms;
 
-/** Bodies that come over one link, which shares its rate among them. */
+/** Transfers over one link, which share its rate equally. */
 struct Link {
     struct Transfer {
         AnnouncedBody body;
@@ -28,7 +28,7 @@
         this->transfers.push_back({body, static_cast<double>(body.bytes)});
     }
 
-    /** Carries the bytes of one step. @return the bodies that came whole */
+    /** Transfers the bytes of one step. @return the bodies that are complete */
     std::vector<AnnouncedBody> advance()
     {
         const double each = LinkBytesPerSecond * std::chrono::duration<double>(Step).count()
@@ -56,7 +56,7 @@
     std::size_t maxOnLink = 0;
 };
 
-/** Plays a minute of bodies that come at random, for @p load times the link's rate, each wanted within @p patience. */
+/** Simulates a minute of random arrivals at @p load times the link's rate, each body due within @p timeLimit. */
 Outcome simulate(double load, std::chrono::milliseconds timeLimit)
 {
     pcg32 random(7);
@@ -94,8 +94,8 @@
 
 } // namespace
 
-// Guards against a link whose queue grows without bound when more bodies come than it carries.
-TEST_CASE("of more bodies than the link carries, those let in are in time and the link stays busy")
+// Guards against a link whose queue grows without bound under overload.
+TEST_CASE("when more bodies arrive than the link carries, admitted ones are in time and the link stays busy")
 {
     const Outcome outcome = simulate(1.3, 800ms);
     const double carried = outcome.inTime * static_cast<double>(BodyBytes) / LinkBytesPerSecond / 60;
@@ -105,14 +105,14 @@
     CHECK(outcome.maxOnLink <= MaxBodiesReceiving);
 }
 
-TEST_CASE("a link with room refuses hardly any body")
+TEST_CASE("a link at half its load refuses less than one body in a hundred")
 {
     const Outcome outcome = simulate(0.5, 800ms);
     CHECK(outcome.inTime > 0.99 * outcome.arrived);
 }
 
-// Guards against a rate that was learnt wrong and never corrected, as all bodies are refused by it.
-TEST_CASE("a free link takes a body whatever rate was learnt")
+// Guards against a wrongly measured rate that is never corrected because all bodies are refused by it.
+TEST_CASE("an idle link admits a body at any measured rate")
 {
     BodyQueue queue;
     REQUIRE(requestAdmission(queue, {1, BodyBytes, Start + 1s}, Start) == Admission::Admitted);
@@ -122,8 +122,8 @@
     CHECK(requestAdmission(queue, {3, BodyBytes, Start + 31s}, Start + 30s) == Admission::Overloaded);
 }
 
-// Guards against room that is lost with a sender that went away, on the link or waiting.
-TEST_CASE("a sender that goes away gives its room back")
+// Guards against a place in the transfer or in the queue that is lost when its sender disconnects.
+TEST_CASE("a sender that disconnects frees its place")
 {
     BodyQueue queue;
     REQUIRE(requestAdmission(queue, {1, BodyBytes, Start + 5s}, Start) == Admission::Admitted);
@@ -135,8 +135,8 @@
     CHECK(queue.meanInterval == 0ns);
 }
 
-// Guards against senders that were granted room and stall: nobody else would ever be let in.
-TEST_CASE("senders that stall don't keep others out")
+// Guards against admitted senders that stall: no other body would ever be admitted.
+TEST_CASE("senders that stall don't block others")
 {
     BodyQueue queue;
     REQUIRE(requestAdmission(queue, {1, BodyBytes, Start + 9s}, Start) == Admission::Admitted);
--- a/tests/CrashTrackerTest.cpp
+++ b/tests/CrashTrackerTest.cpp
@@ -32,8 +32,8 @@
 
 } // namespace
 
-// A popular timetable lookup is refused everywhere: it was in progress at both crashes, as it always is.
-TEST_CASE("what upstreams have answered before is not suspected")
+// Guards against quarantining a frequent request that was in progress at both crashes by chance.
+TEST_CASE("a request that upstreams have answered before is not suspected")
 {
     CrashTracker tracker;
     recordBegin(tracker, Popular);
@@ -44,9 +44,9 @@
     REQUIRE(suspectsOf(crashWith(tracker, {Poison, Innocent, Popular}, "i1")) == std::set{Poison, Innocent});
 }
 
-// An enrolment is refused everywhere as a crasher: it was resent together with the real one, beside which it had been
-// in progress at the first crash, and was in progress again at the second.
-TEST_CASE("suspects run one at a time, so that a second crash blames one alone")
+// Guards against quarantining a harmless request: it was in progress together with the crashing one at the first crash,
+// was resent together with it, and was in progress again at the second crash.
+TEST_CASE("suspects run one at a time, so that only one is blamed for a second crash")
 {
     CrashTracker tracker;
     recordBegin(tracker, Poison);
@@ -64,7 +64,7 @@
     REQUIRE(suspectsOf(crashWith(tracker, {Poison, Popular}, "i2")) == std::set{Poison});
 }
 
-TEST_CASE("fingerprints tell apart what differs in one part only, and memory of them is bounded")
+TEST_CASE("fingerprints differ when one part of the request differs, and their number in memory is bounded")
 {
     REQUIRE(fingerprint({"s", "k", "GET", "/a", ""}) == fingerprint({"s", "k", "GET", "/a", ""}));
     REQUIRE(fingerprint({"s", "ka", "GET", "/a", ""}) != fingerprint({"sk", "a", "GET", "/a", ""}));
--- a/tests/GateLoadTest.cpp
+++ b/tests/GateLoadTest.cpp
@@ -18,19 +18,19 @@
 constexpr unsigned Slots = 12;
 constexpr unsigned FewSlots = 6;
 
-/** One kind of request and how often it comes. */
+/** One kind of request and its rate. */
 struct Kind {
     double perSecond = 0;
     std::chrono::milliseconds work{0};
     TimeTargets targets;
 };
 
-/** What became of the requests of one kind. */
+/** Outcomes of the requests of one kind. */
 struct Tally {
     unsigned arrived = 0;
     unsigned inTarget = 0;
     unsigned refused = 0;
-    /** Refused only after more than a quarter of the target latency. */
+    /** Refused later than after a quarter of the target latency. */
     unsigned refusedLate = 0;
 
     double shareInTarget() const
@@ -46,8 +46,8 @@
 };
 
 /**
- * Plays a load against one gate and its upstream: requests come at random, work lasts between half and twice the mean,
- * and the upstream's VM takes three times as long in a fifth of the time, for 400 ms on end.
+ * Simulates a load on one gate and its upstream: requests arrive at random and take between half and twice the mean
+ * work time, and the upstream's VM is three times slower for a fifth of the time, in periods of 400 ms.
  */
 class Simulation
 {
@@ -149,7 +149,7 @@
     TicketId lastTicket = 0;
 };
 
-/** Enrolments at 1.3 times what twelve slots serve, and the seat checks that other services make meanwhile. */
+/** Enrolments at 1.3 times the capacity of twelve slots, and the short calls that other services make meanwhile. */
 std::vector<Kind> overloadedEnrolments()
 {
     return {{.perSecond = 55, .work = 210ms, .targets = {.targetLatency = 600ms, .timeout = 1200ms, .priority = 1}},
@@ -158,40 +158,40 @@
 
 } // namespace
 
-// Three requests in ten are enrolments too many, and each request of another service makes a call here that must be
-// quick. First come first served, every second call was late, and the work of the request that made it was lost.
-TEST_CASE("gate under load: calls that must be quick overtake, and more of everything comes in its target")
+// Enrolments arrive at 1.3 times the capacity, and requests of other services make short calls with an early target. In
+// first-come first-served order every second call was late, and the work of the request that made it was lost.
+TEST_CASE("gate under load: calls with an early target overtake, and more requests of each kind meet their target")
 {
     const std::vector<Tally> firstComeFirstServed = Simulation(overloadedEnrolments(), false).run();
     const std::vector<Tally> byPriority = Simulation(overloadedEnrolments(), true).run();
     WARN("in target, first come first served: enrolments "
          << firstComeFirstServed[0].shareInTarget() << ", calls " << firstComeFirstServed[1].shareInTarget()
-         << "; by urgency: " << byPriority[0].shareInTarget() << ", " << byPriority[1].shareInTarget());
+         << "; by priority: " << byPriority[0].shareInTarget() << ", " << byPriority[1].shareInTarget());
     REQUIRE(firstComeFirstServed[1].shareInTarget() < 0.5);
     REQUIRE(byPriority[1].shareInTarget() > 0.6);
     REQUIRE(byPriority[0].shareInTarget() > firstComeFirstServed[0].shareInTarget());
     REQUIRE(byPriority[0].refusedLate * 20 < byPriority[0].arrived);
 }
 
-// Balances are answered with an error though their own upstream worked on them: each asks for two limits meanwhile,
-// from upstreams that are busy with sweep orders of 290 ms each, and more than every second limit is turned away. A
-// lookup that waits for a tenth of its 600 ms rarely sees one of six slots become free.
+// Short lookups go to upstreams that are busy with orders of 290 ms each, and a refused lookup fails the request that
+// made it. With a maximum wait of a tenth of its 600 ms, a lookup rarely saw one of six slots become free, and more
+// than every second one was refused.
 TEST_CASE("gate under load: short lookups wait long enough to see a slot become free")
 {
     const TimeTargets lookup{.targetLatency = 200ms, .timeout = 600ms, .priority = 1};
     const TimeTargets order{.targetLatency = 800ms, .timeout = 1500ms, .priority = 1};
-    const std::vector<Tally> played = Simulation({{.perSecond = 12, .work = 290ms, .targets = order},
-                                                  {.perSecond = 27, .work = 55ms, .targets = lookup}},
-                                                 true,
-                                                 FewSlots)
-                                          .run();
-    WARN("refused: lookups " << played[1].refused << " of " << played[1].arrived << ", orders " << played[0].refused
-                             << " of " << played[0].arrived << ", orders in target " << played[0].shareInTarget());
-    CHECK(played[1].refused * 5 < played[1].arrived);
-    CHECK(played[0].shareInTarget() > 0.6);
+    const std::vector<Tally> results = Simulation({{.perSecond = 12, .work = 290ms, .targets = order},
+                                                   {.perSecond = 27, .work = 55ms, .targets = lookup}},
+                                                  true,
+                                                  FewSlots)
+                                           .run();
+    WARN("refused: lookups " << results[1].refused << " of " << results[1].arrived << ", orders " << results[0].refused
+                             << " of " << results[0].arrived << ", orders in target " << results[0].shareInTarget());
+    CHECK(results[1].refused * 5 < results[1].arrived);
+    CHECK(results[0].shareInTarget() > 0.6);
 }
 
-TEST_CASE("gate: a full queue makes room for what is more urgent, and refuses what is not")
+TEST_CASE("gate: a request with priority displaces the last one of a full queue, any other is refused")
 {
     Gate gate = makeGate(
         GateSettingsBuilder().ceiling(1).minConnectionInterval(0us).queueLength(2).adaptive(false).build().value(),
--- a/tests/GateTest.cpp
+++ b/tests/GateTest.cpp
@@ -21,7 +21,7 @@
     return gate;
 }
 
-/** An upstream that serves so many requests at once, each in @p alone; more share it. */
+/** An upstream that serves up to @p slots requests in parallel, each in @p alone; above that the latency rises. */
 struct Server {
     unsigned slots = 12;
     std::chrono::milliseconds alone{10};
@@ -32,7 +32,7 @@
     }
 };
 
-/** Keeps the gate full until so many requests are answered. */
+/** Keeps the gate full until @p answers requests are answered. */
 BootTime answerFull(Gate &gate, unsigned answers, const Server &server, BootTime now)
 {
     for (unsigned answer = 0; answer < answers; answer++) {
@@ -54,7 +54,7 @@
     REQUIRE(bad.error().size() == 2);
 }
 
-// An upstream that has just started falls over: it gets the load of a warm one at once.
+// Guards against overloading an upstream that has just started with the load of a warm one.
 TEST_CASE("a new incarnation starts at one request and grows with its answers")
 {
     Gate gate = warmGate(12);
@@ -68,8 +68,8 @@
     REQUIRE(later - Start < 2s);
 }
 
-// A cold upstream is held down for good, or run over: its limit must follow what it can bear in both directions.
-TEST_CASE("a cold upstream gets what it can bear, and its full limit once it is warm")
+// Guards against a limit that stays low after the upstream is warm, and against one that overloads it while it is cold.
+TEST_CASE("a cold upstream gets a load that it can serve, and its full limit once it is warm")
 {
     Gate gate = warmGate(12);
     restart(gate, Start);
@@ -83,7 +83,8 @@
     REQUIRE(gate.limit.phase == LimitPhase::Steady);
 }
 
-// An upstream's cache is dropped without notice and its load stays: it takes ten times as long, and less at once.
+// An upstream's cache is dropped without notice at constant load: its requests take several times as long, and it
+// serves fewer in parallel.
 TEST_CASE("a jump of the latency starts the limit from cold")
 {
     Gate gate = warmGate(12);
@@ -96,8 +97,9 @@
     REQUIRE(allowedConcurrency(gate.limit) <= 5);
 }
 
-// An upstream that lost half of its slots to a neighbour stays at full load, and every answer takes twice as long.
-TEST_CASE("a crowded warm upstream is given less")
+// An upstream that lost half of its slots to a neighbour would stay at full load, and every answer would take twice as
+// long.
+TEST_CASE("the limit of a congested warm upstream is reduced")
 {
     Gate gate = warmGate(12);
     const BootTime now = answerFull(gate, 100, {}, Start);
@@ -105,9 +107,9 @@
     REQUIRE(allowedConcurrency(gate.limit) <= 9);
 }
 
-// A key's only owner is slowed by neighbours and sheds most of its load, though it could serve as many at once as ever:
-// its limit was cut for a latency that has nothing to do with its load.
-TEST_CASE("an upstream as slow alone as crowded gets its limit back")
+// A key's only owner is slowed by neighbours but can serve as many requests in parallel as before. A limit cut for a
+// latency that doesn't depend on its load would shed most of its requests.
+TEST_CASE("an upstream that is as slow at low as at high concurrency gets its limit back")
 {
     Gate gate = warmGate(12);
     const BootTime now = answerFull(gate, 100, {}, Start);
@@ -115,7 +117,7 @@
     REQUIRE(allowedConcurrency(gate.limit) == 12);
 }
 
-TEST_CASE("a request that can't be served within its deadline is shed at once, and one that waited too long later")
+TEST_CASE("a request that can't be served within its deadline is shed on arrival, and one that waited too long later")
 {
     Gate gate = warmGate(1);
     REQUIRE(requestAdmission(gate, {1, Start + 1s}, Start) == Admission::Admitted);
@@ -130,7 +132,7 @@
     REQUIRE(processQueue(gate, Start + 40ms).admitted == std::vector<TicketId>{4});
 }
 
-TEST_CASE("the queue is short, and a refusal at the table's limit is told apart")
+TEST_CASE("the queue is bounded, and a refusal at the table's limit is distinguished")
 {
     Gate gate = warmGate(1);
     REQUIRE(requestAdmission(gate, {1, Start + 1s}, Start) == Admission::Admitted);
@@ -145,9 +147,9 @@
     REQUIRE(requestAdmission(gate, {8, Start + 1s}, Start) == Admission::Queued);
 }
 
-// An upstream stops answering after a restart beside it: a hundred connections were opened to it within a millisecond,
-// and each costs it one.
-TEST_CASE("new connections are spaced out, open ones are used at once")
+// Guards against a connection storm after an agent's restart: a hundred connections opened within a millisecond, each
+// of which costs the upstream a millisecond.
+TEST_CASE("new connections are spaced out, idle ones are used immediately")
 {
     Gate gate = warmGate(12);
     gate.settings.minConnectionInterval = 4ms;
@@ -160,10 +162,10 @@
     REQUIRE(requestAdmission(gate, {3, Start + 1s}, Start + 5ms) == Admission::Admitted);
 }
 
-// After each planned restart of an agent callers are refused for seconds, although the upstream was warm all along; or
-// an upstream that lost its cache in between gets its full load at once.
-// Order: an agent stops and says what it had learned; the next one starts from it; the upstream is as before, or cold.
-TEST_CASE("a gate that resumes starts at the learned limit, and notices an upstream that turned cold in between")
+// An agent stops and hands over its measured limit, and the next one starts from it. Without this, callers would be
+// refused for seconds after each planned restart although the upstream is warm. An upstream that lost its cache in
+// between must not get its full load.
+TEST_CASE("a gate restored after a restart starts at the measured limit, and detects an upstream that turned cold")
 {
     agent::AdaptiveLimit before;
     agent::setCeiling(before, 12);
@@ -188,10 +190,10 @@
 }
 
 /*
- * An upstream has just started and says that it is cold and bears 12 requests a second. Its agent gives it the load of
- * a warm one, its slots fill, and it ends; its successor is cold again, and so on.
+ * An upstream has just started and announces that it is cold and supports 12 requests per second. With the load of a
+ * warm one its slots would fill and it would exit; the next incarnation would be cold again.
  */
-TEST_CASE("gate: a cold upstream gets its requests evenly, and no more in any second than it bears with a little over")
+TEST_CASE("gate: a cold upstream gets its requests evenly spaced, with at most one above its rate in any second")
 {
     Gate gate = makeGate(GateSettingsBuilder()
                              .ceiling(100)
@@ -223,7 +225,7 @@
     REQUIRE(processQueue(gate, Start + 3s).admitted.size() == waiting);
 }
 
-TEST_CASE("gate: while an upstream is cold the gate asks to be looked at when its next turn comes, not before")
+TEST_CASE("gate: while an upstream is cold the queue is processed next when the next dispatch is due, not before")
 {
     Gate gate = makeGate(
         GateSettingsBuilder().ceiling(9).minConnectionInterval(0us).maxColdRate(10).adaptive(false).build().value(),
--- a/tests/GrantExplorerTest.cpp
+++ b/tests/GrantExplorerTest.cpp
@@ -20,16 +20,16 @@
 
 constexpr milliseconds Step{100};
 constexpr milliseconds LeaseLength{600};
-/** Control waits so much longer than a lease before it gives keys away. */
+/** Time that control waits beyond the end of a lease before it reassigns the keys. */
 constexpr milliseconds ReassignMargin{100};
 constexpr const char *Service = "seats";
 constexpr std::uint64_t LastHash = ~std::uint64_t{0};
 constexpr std::size_t Sides = 2;
 
-/** Guards that a world may lack, to show that the explorer finds what they prevent. */
+/** The guard that is disabled, to show that the explorer finds the fault that it prevents. */
 enum class Without { Nothing, UnansweredGrants, LeaseBound, Predecessor, AnswerOfRelease };
 
-/** Short times, so that few steps go through a whole lease; their order is the product's. */
+/** Short times, so that a whole lease takes few steps; they are in the same order as the default times. */
 GrantTimes shortTimes()
 {
     GrantTimes times;
@@ -45,18 +45,18 @@
 /** An order on its way to an upstream. */
 struct Sent {
     GrantOrder order;
-    /** Nobody waits for its answer any more. */
+    /** The agent no longer waits for its answer. */
     bool late = false;
 };
 
-/** An upstream's own process. */
+/** The process of an upstream. */
 struct Process {
     std::uint64_t epoch = 0;
     std::uint64_t highestSeen = 0;
     BootTime until;
 };
 
-/** One upstream and the agent beside it, which runs the real functions. */
+/** One upstream and its agent, which runs the functions under test. */
 struct Side {
     Process process;
     std::vector<Sent> sent;
@@ -68,7 +68,7 @@
     bool isPartitioned = false;
 };
 
-/** Control as far as it matters here: one slice, its owner and epoch, and whose lease it must wait for. */
+/** Both sides and a model of control: one slice, its owner and epoch, and the leases that it must wait for. */
 struct World {
     std::array<Side, Sides> sides;
     BootTime now{100s};
@@ -118,7 +118,7 @@
     side.ownership.predecessorGrantsExpired = hasExpired;
 }
 
-/** The agent's turn: orders that are due, and slices that it can give back. */
+/** Runs one step of the agent: sends the orders that are due and reports released slices. */
 void runAgent(World &world, std::size_t number)
 {
     Side &side = world.sides.at(number);
@@ -149,7 +149,7 @@
     }
 }
 
-/** An upstream carries an order out, its time counted from its arrival. */
+/** Executes an order at an upstream whose clock is slow. */
 OrderOutcome execute(World &world, Process &process, const GrantOrder &order)
 {
     if (order.kind == OrderKind::Release) {
@@ -243,7 +243,7 @@
     }
 }
 
-/** The upstream's process ends and starts again; its agent hears of it, and control gives a new epoch. */
+/** Restarts the upstream's process; its agent is notified, and control assigns a new epoch. */
 void restartProcess(World &world, std::size_t number)
 {
     Side &side = world.sides.at(number);
@@ -257,7 +257,7 @@
     }
 }
 
-/** Does the event of that number, if there is one. @return whether there was */
+/** Applies the event with that number. @return false when there is no such event */
 bool applyEvent(World &world, unsigned event)
 {
     unsigned number = event;
@@ -311,7 +311,7 @@
     return world.sides.at(number).process.until > world.now;
 }
 
-/** All that decides what can follow, with times against the present. */
+/** @return a text of all state that determines the following events, with times relative to now */
 std::string fingerprint(const World &world)
 {
     std::ostringstream text;
@@ -340,7 +340,7 @@
 
 struct Exploration {
     std::size_t states = 0;
-    /** The first order of events after which two upstreams held the keys. */
+    /** The first sequence of events after which two upstreams held the keys. */
     std::optional<std::vector<unsigned>> violation;
 };
 
@@ -369,7 +369,7 @@
     }
 }
 
-/** @param before events that have happened already */
+/** @param before events that are applied before the exploration */
 Exploration explored(Without without, unsigned depth, const std::vector<unsigned> &before = {})
 {
     World world;
@@ -380,7 +380,7 @@
         world.renewedAt.at(number) = world.now;
     }
     world.restarts = 0;
-    // The owner has its keys before anything happens.
+    // The owner holds its keys before the first event.
     runAgent(world, 0);
     answer(world, world.sides.at(0), 0, true);
     runAgent(world, 0);
@@ -400,11 +400,11 @@
 } // namespace
 
 /*
- * Callers would see two upstreams change the same key: orders and answers get lost, orders are carried out late, agents
- * and upstreams restart, agents are cut off from control. Every order of these events is played to a stated depth with
- * the agents' own functions; two upstreams never hold the keys together.
+ * Guards against two upstreams that hold the same key. Orders and answers get lost, orders are executed late, agents
+ * and upstreams restart, and agents are partitioned from control. Every sequence of these events is explored to a fixed
+ * depth with the agent's own functions.
  */
-TEST_CASE("grants by call: no order of events lets two upstreams hold a key")
+TEST_CASE("grants by call: no sequence of events lets two upstreams hold a key")
 {
     constexpr unsigned Depth = 8;
     const Exploration found = explored(Without::Nothing, Depth);
@@ -414,13 +414,13 @@
     REQUIRE_FALSE(found.violation);
 }
 
-TEST_CASE("grants by call: the explorer finds what each guard prevents")
+TEST_CASE("grants by call: the explorer finds the fault that each guard prevents")
 {
     constexpr unsigned Depth = 9;
     REQUIRE(explored(Without::UnansweredGrants, Depth).violation);
     REQUIRE(explored(Without::AnswerOfRelease, Depth).violation);
     REQUIRE(explored(Without::Predecessor, Depth).violation);
-    // Cut off from control for most of its lease.
+    // The owner is partitioned from control for most of its lease.
     const std::vector<unsigned> partitioned{2, 0, 0, 0, 0, 0};
     REQUIRE(explored(Without::LeaseBound, Depth, partitioned).violation);
     const auto violation = explored(Without::Nothing, Depth - 1, partitioned).violation;
--- a/tests/GrantOrdersTest.cpp
+++ b/tests/GrantOrdersTest.cpp
@@ -11,7 +11,7 @@
 constexpr BootTime Start{100s};
 constexpr HeldRange Keys{0, 999, 4};
 
-/** One upstream whose answers the test gives. */
+/** One upstream whose answers are given by the test. */
 struct Upstream {
     GrantOrders orders;
     BootTime now = Start;
@@ -49,7 +49,7 @@
 
 } // namespace
 
-TEST_CASE("grants by call: keys are held for sure only from the answer on, and renewed before they run out")
+TEST_CASE("grants by call: keys are confirmed only by the answer, and renewed before they expire")
 {
     Upstream upstream;
     const GrantOrder first = upstream.takeOnlyGrant();
@@ -69,8 +69,8 @@
 }
 
 /*
- * Control can't be reached and the agent's lease runs out, while the upstream beside it still answers. A grant that
- * outlasted the lease would let the upstream serve keys that control has meanwhile given to another.
+ * Control can't be reached and the agent's lease expires while the upstream still answers. A grant that outlasts the
+ * lease would let the upstream serve keys that control has assigned to another in the meantime.
  */
 TEST_CASE("grants by call: no grant outlasts the agent's lease, however late it arrives and however slow the clock")
 {
@@ -88,11 +88,11 @@
 }
 
 /*
- * The answer to a grant is lost, and the upstream carries the grant out a second later. Meanwhile the keys are
- * released, which the upstream answers at once. Were they free then, another upstream would get them while the first
- * one holds them by the late grant.
+ * The answer to a grant is lost, and the upstream executes the grant a second later. Meanwhile the keys are released,
+ * which the upstream answers immediately. If the keys counted as free then, another upstream would get them while the
+ * first one holds them by the late grant.
  */
-TEST_CASE("grants by call: after a release, keys stay taken until a grant without an answer has run out")
+TEST_CASE("grants by call: after a release, keys stay possibly held until an unanswered grant has expired")
 {
     Upstream upstream;
     upstream.recordOutcome(upstream.takeOnlyGrant(), OrderOutcome::Done);
@@ -114,7 +114,7 @@
     REQUIRE(upstream.held().empty());
 }
 
-TEST_CASE("grants by call: an answered release frees its part at once, and the rest stays held")
+TEST_CASE("grants by call: an answered release frees its range immediately, and the rest stays held")
 {
     Upstream upstream;
     upstream.recordOutcome(upstream.takeOnlyGrant(), OrderOutcome::Done);
@@ -127,7 +127,7 @@
     REQUIRE(held[1] == HeldRange{300, 999, 4});
 }
 
-TEST_CASE("grants by call: a release without an answer frees nothing and is sent again after a pause")
+TEST_CASE("grants by call: an unanswered release frees nothing and is sent again after a delay")
 {
     Upstream upstream;
     upstream.recordOutcome(upstream.takeOnlyGrant(), OrderOutcome::Done);
@@ -142,8 +142,8 @@
 }
 
 /*
- * An upstream refuses a grant since it knows a higher epoch: a grant of another leader's time. Sent again and again, it
- * would never be taken, and each try would cost a call.
+ * An upstream refuses a grant because it knows a higher epoch, granted under another leader. The grant would never be
+ * accepted, and each retry would cost a call.
  */
 TEST_CASE("grants by call: a grant refused as outdated is not sent again under that epoch")
 {
@@ -155,10 +155,10 @@
 }
 
 /*
- * An upstream answers 421 for a key that it was granted: a late order took the key away. Callers would be sent there
- * until the next renewal.
+ * An upstream answers 421 for a key that it was granted, as a late order removed the key. Without this, requests would
+ * be sent there until the next renewal.
  */
-TEST_CASE("grants by call: a disowned key isn't held any more, and is granted again at once")
+TEST_CASE("grants by call: a key that the upstream doesn't hold is no longer confirmed, and is granted again at once")
 {
     Upstream upstream;
     upstream.recordOutcome(upstream.takeOnlyGrant(), OrderOutcome::Done);
@@ -168,7 +168,7 @@
     REQUIRE(upstream.isConfirmed());
 }
 
-TEST_CASE("grants by call: an upstream that doesn't answer is not asked without a pause")
+TEST_CASE("grants by call: an upstream that doesn't answer gets the next order only after a delay")
 {
     Upstream upstream;
     upstream.recordOutcome(upstream.takeOnlyGrant(), OrderOutcome::NotReceived);
--- a/tests/HeldKeysTest.cpp
+++ b/tests/HeldKeysTest.cpp
@@ -12,7 +12,7 @@
 constexpr BootTime Now{10s};
 constexpr std::uint64_t Boundary = hashOfNumberedKey(1000);
 
-/** An agent whose upstream keeps grants of its own; it owns keys 0 to 999 under epoch 4. */
+/** An agent whose upstream holds its own grants; it owns keys 0 to 999 under epoch 4. */
 struct Agent {
     agent::RouteMap map;
     agent::Ownership ownership;
@@ -66,7 +66,7 @@
 
 } // namespace
 
-TEST_CASE("held keys: an upstream gets a key only while it holds it, under the epoch in force")
+TEST_CASE("held keys: a key is dispatched to an upstream only while it holds the key under the epoch in force")
 {
     Agent agent;
     REQUIRE(agent.check() == agent::OwnershipRefusal::Moving);
@@ -81,11 +81,12 @@
 }
 
 /*
- * A slice moves to another upstream. The old one hears of it only with its next heartbeat, up to a second later, and
- * goes on serving until then. Released before that, two upstreams would hold the slice's keys; refused before that, its
- * callers would be turned away for nothing.
+ * A slice moves to another upstream. The previous one receives the revoke only with its next heartbeat, up to a second
+ * later, and serves the slice until then. If the slice were released before that, two upstreams would hold its keys; if
+ * its requests were refused before that, callers would be refused without need.
  */
-TEST_CASE("held keys: a revoked slice is served until its upstream is told, and released once that holds it no more")
+TEST_CASE(
+    "held keys: a revoked slice is served until the revoke is sent, and released once its upstream doesn't hold it")
 {
     Agent agent;
     agent.hold(4);
@@ -106,7 +107,7 @@
     REQUIRE(agent.check() == agent::OwnershipRefusal::Moving);
 }
 
-TEST_CASE("held keys: part of a slice still held blocks its release, a neighbour's doesn't")
+TEST_CASE("held keys: a held part of a slice blocks its release, a held range of the next slice doesn't")
 {
     Agent agent;
     agent.ownership.held["seats"] = {{hashOfNumberedKey(999), hashOfNumberedKey(999) + NumberedKeyWidth - 1, 2}};
@@ -117,18 +118,18 @@
 }
 
 /*
- * An agent is killed and starts again while its upstream goes on, holding what the agent before had granted. Asked to
- * give a slice up, the new agent knows of no hold and says at once that it is free: another upstream gets the keys
- * while the first still holds them, for as long as the old grant runs.
+ * An agent is killed and restarts while its upstream keeps running and holds the predecessor's grants. If the new
+ * agent, which knows of no hold, released a revoked slice immediately, another upstream would get keys that the first
+ * one still holds until the old grant expires.
  */
-TEST_CASE(
-    "held keys: a new agent releases nothing before its upstream has said what it holds, or its grants have ended")
+TEST_CASE("held keys: a new agent releases nothing before its upstream has reported what it holds, or its grants have "
+          "expired")
 {
     Agent agent;
     agent.ownership.servicesReported.clear();
     agent.revoke();
     REQUIRE(agent::takeReleased(agent.ownership, agent.map).slices().empty());
-    SECTION("the upstream speaks")
+    SECTION("the upstream reports what it holds")
     {
         agent.ownership.servicesReported.insert("seats");
         agent.hold(4);
@@ -136,7 +137,7 @@
         agent.ownership.held.clear();
         REQUIRE(agent::takeReleased(agent.ownership, agent.map).slices_size() == 1);
     }
-    SECTION("it never does, and what the agent before granted has run out")
+    SECTION("it never does, and the predecessor's grants have expired")
     {
         agent.ownership.predecessorGrantsExpired = true;
         REQUIRE(agent::takeReleased(agent.ownership, agent.map).slices_size() == 1);
--- a/tests/LeaseTest.cpp
+++ b/tests/LeaseTest.cpp
@@ -26,8 +26,9 @@
 
 } // namespace
 
-// A key is answered by two upstreams: an agent was frozen right after it sent a heartbeat, came back after control had
-// granted its keys to another, and read the old confirmation. Counted from its arrival, the lease would hold again.
+// Guards against two owners of a key. An agent is frozen right after it sent a heartbeat and reads the confirmation
+// after control has granted its keys to another. A lease counted from the arrival of the confirmation would be valid
+// again.
 TEST_CASE("a lease runs from the moment its renewal was sent")
 {
     agent::Lease lease = openLease();
@@ -39,8 +40,8 @@
     REQUIRE_FALSE(agent::isValidAt(lease, sent + 500ms));
 }
 
-// An agent serves by an old map: its session broke, a new leader took over, and a delayed confirmation of the session
-// before was counted as the new leader's.
+// Guards against serving with an outdated map: a session breaks, a new leader is elected, and a delayed confirmation of
+// the previous session is taken for one of the new leader.
 TEST_CASE("a renewal counts only on its own session and after that session's full state")
 {
     agent::Lease lease = openLease();
@@ -59,7 +60,7 @@
     REQUIRE(agent::isValidAt(lease, BootTime(11s)));
 }
 
-TEST_CASE("confirmations out of order or doubled never shorten or lengthen the lease")
+TEST_CASE("confirmations out of order or duplicated neither shorten nor extend the lease")
 {
     agent::Lease lease = openLease();
     const std::uint64_t first = agent::recordRenewal(lease, BootTime(10s));
--- a/tests/LimitSharesTest.cpp
+++ b/tests/LimitSharesTest.cpp
@@ -53,7 +53,7 @@
 
 } // namespace
 
-TEST_CASE("limit: an agent lets its share through in each window, and permits beside it until they end")
+TEST_CASE("limit: an agent admits its share in each window, and permits in addition until they expire")
 {
     agent::LimitShares shares = halfGranted(2);
     REQUIRE(admittedAt(shares, Hundred, Start) == 52);
@@ -63,13 +63,13 @@
     REQUIRE(admittedAt(late, Hundred, Start + 2s) == 50);
 }
 
-TEST_CASE("limit: a workspace without a limit is let through without any share")
+TEST_CASE("limit: requests of a workspace without a limit are admitted without a share")
 {
     agent::LimitShares shares;
     REQUIRE(admittedAt(shares, tableOf(0, 0), Start) == 200);
 }
 
-TEST_CASE("limit: a lower limit holds for the share at once")
+TEST_CASE("limit: a lower limit applies to the share immediately")
 {
     agent::LimitShares shares = halfGranted();
     REQUIRE(admittedAt(shares, tableOf(1, 5), Start) == 5);
@@ -90,8 +90,8 @@
     REQUIRE(agent::admit(shares, workspace, Start + 1s).shouldAskControl);
 }
 
-// Guards against an agent that was frozen or cut off and goes on with a share that control has given to others.
-TEST_CASE("limit: a share ends with its lease, and control is told so")
+// Guards against an agent that was frozen or partitioned and still uses a share that control has granted to others.
+TEST_CASE("limit: a share expires with its lease, and this is reported to control")
 {
     agent::LimitShares shares = halfGranted();
     REQUIRE(admittedAt(shares, Hundred, Start + 10s) == 0);
@@ -101,8 +101,8 @@
     REQUIRE(renew.demands(0).share() == 0);
 }
 
-// Guards against a limit that an agent lets through once more with each start of its process.
-TEST_CASE("limit: a process that has just started uses permits alone")
+// Guards against an agent that admits its share once more with each restart of its process.
+TEST_CASE("limit: a process that has just started uses only permits")
 {
     agent::LimitShares shares = halfGranted(1);
     shares.startedAt = Start - 1s;
@@ -110,7 +110,7 @@
     REQUIRE(admittedAt(shares, Hundred, Start + 4s) == 50);
 }
 
-TEST_CASE("limit: a request that did not run doesn't count")
+TEST_CASE("limit: a request that did not run is not counted")
 {
     agent::LimitShares shares = halfGranted();
     REQUIRE(admittedAt(shares, Hundred, Start) == 50);
--- a/tests/LoadSketchTest.cpp
+++ b/tests/LoadSketchTest.cpp
@@ -12,7 +12,7 @@
 constexpr std::uint64_t HotKey = Half + 12345;
 const BootTime Start{1000s};
 
-/** Two slices of one service: the lower one of upstream 1, which is here, the upper one of upstream 2. */
+/** @return a map with two slices of one service and their owners; the tests' local upstream is 1 */
 agent::RouteMap twoSlices(std::uint32_t lowerOwner, std::uint32_t upperOwner)
 {
     wire::StateUpdate update;
@@ -33,10 +33,9 @@
 
 } // namespace
 
-// One class opens for enrolment and its key alone fills an upstream, beside keys that could live elsewhere.
-// Order: a few percent of all requests go to one key among hundreds of thousands; control is to give it a slice.
-// Cause of a miss: a sketch that forgets the key because ever new ones push it out.
-TEST_CASE("the hot key is told among a hundred thousand others, and cold ones are not")
+// A few percent of all requests go to one key among a hundred thousand, which control should give a slice of its own.
+// Guards against a sketch that loses the hot key because new keys displace it.
+TEST_CASE("the hot key is reported among a hundred thousand others, and cold ones are not")
 {
     const agent::RouteMap map = twoSlices(1, 1);
     agent::Ownership ownership;
@@ -60,7 +59,7 @@
     REQUIRE(renew.loads(0).rate() + renew.loads(1).rate() == Approx(10000));
 }
 
-TEST_CASE("slices owned here are told also without requests, others are not")
+TEST_CASE("slices owned here are reported even without requests, others are not")
 {
     const agent::RouteMap map = twoSlices(1, 2);
     agent::Ownership ownership;
--- a/tests/OwnershipTest.cpp
+++ b/tests/OwnershipTest.cpp
@@ -66,7 +66,7 @@
 
 } // namespace
 
-TEST_CASE("an agent serves only what it owns, under a lease, and not what is being moved")
+TEST_CASE("an agent serves only slices that it owns, under a valid lease, and not those being moved")
 {
     Agent agent;
     REQUIRE(agent.check(5) == agent::OwnershipRefusal::None);
@@ -78,9 +78,9 @@
             == agent::OwnershipRefusal::NotOwner);
 }
 
-// An operator's change is undone: an agent reconnected to a replica on the far side of a partition, which sent it the
-// state from before the change.
-TEST_CASE("an older state is left out, whether full or not")
+// Guards against undoing an operator's change: an agent reconnects to a replica on the other side of a partition, which
+// sends the state from before the change.
+TEST_CASE("an older state is ignored, whether full or not")
 {
     Agent agent;
     wire::StateUpdate change = update(5, false);
@@ -96,9 +96,9 @@
     REQUIRE(agent::apply(agent.map, lowerTerm) == agent::UpdateOutcome::Older);
 }
 
-// A payment runs on two upstreams' state at once: the slice was split while a request ran on it, then its upper part
-// was revoked and told released, since the work was looked up under the new slice only.
-TEST_CASE("a slice is released only when no work is left on any of its keys, also after a split")
+// Guards against a request that runs while another upstream owns its key: the slice is split while the request runs,
+// then the upper part is revoked and released because the work is looked up under the new slice only.
+TEST_CASE("a slice is released only when no work is in progress on any of its keys, also after a split")
 {
     Agent agent;
     agent::beginWork(agent.ownership, "catalogue", 100);
@@ -116,9 +116,9 @@
     REQUIRE(agent.check(100) == agent::OwnershipRefusal::Moving);
 }
 
-// A key has two owners: an agent released it, the leader granted it on and fell, and the new leader's first state,
-// one commit behind, still names the agent as the owner.
-TEST_CASE("a released epoch is never served again, and a new leader is told of it")
+// Guards against two owners of a key: an agent releases it, the leader grants it to another and fails, and the first
+// state of the new leader, one commit behind, still has the agent as the owner.
+TEST_CASE("a released epoch is never served again, and is reported to a new leader")
 {
     Agent agent;
     agent.revoke(0, 1);
@@ -133,9 +133,9 @@
     REQUIRE(agent::resumeReleased(agent.ownership, agent.map).slices().empty());
 }
 
-// A key has two owners: the session broke between Revoke and Released, the agent took up the key again, and the leader,
-// which still was the leader, had its Released of another slice.
-TEST_CASE("a revocation stands over the end of its session until its work has ended")
+// Guards against two owners of a key: the session breaks between Revoke and Released, and the agent serves the key
+// again, while the same leader has received a Released of another slice.
+TEST_CASE("a revocation outlasts its session until the work in progress has ended")
 {
     Agent agent;
     agent::beginWork(agent.ownership, "catalogue", 5);
--- a/tests/RequestStepTest.cpp
+++ b/tests/RequestStepTest.cpp
@@ -17,14 +17,14 @@
 constexpr std::uint32_t Near = 1;
 constexpr std::uint32_t Far = 2;
 
-/** What really happened to the attempts, which the request can't see, beside what step() made of it. */
+/** The actual state of the attempts, which the request can't see, and the request's own state. */
 struct World {
     RequestState state;
     RetryBudget retries;
     RetryBudget hedges;
     pcg32 random{7};
     BootTime now = Start;
-    /** Attempts handed to an upstream and neither ended nor cancelled. */
+    /** Attempts that were sent to an upstream and have neither ended nor been cancelled. */
     std::map<unsigned, bool> sentAttempts;
     /** Whether any part of the request may have run. */
     bool mayHaveRun = false;
@@ -44,7 +44,7 @@
 void check(World &world, bool holds, const char *rule)
 {
     if (!holds) {
-        FAIL(rule << " broken after:" << world.history);
+        FAIL(rule << " violated after:" << world.history);
     }
 }
 
@@ -71,7 +71,7 @@
     }
 }
 
-/** Carries out an action as far as the rules care. */
+/** Applies those effects of an action that the checked rules need. */
 void applyAction(World &world, const RequestAction &action)
 {
     switch (action.kind) {
@@ -80,7 +80,7 @@
         send(world, action);
         break;
     case ActionKind::Cancel:
-        // A cancelled attempt may have run, and may still.
+        // A cancelled attempt may have run, and may still run.
         world.mayHaveRun |= world.sentAttempts.erase(action.attempt) > 0;
         break;
     case ActionKind::Relay:
@@ -91,7 +91,7 @@
     case ActionKind::Record:
         world.records++;
         world.released = action.claimResolution == ClaimResolution::Released;
-        check(world, !world.released || !world.mayHaveRun, "a claim is given back only if nothing ran");
+        check(world, !world.released || !world.mayHaveRun, "a claim is released only if nothing ran");
         break;
     default:
         break;
@@ -124,7 +124,7 @@
     }
     const RequestContext context{&world.retries, &world.hedges, &world.random};
     std::vector<RequestAction> actions = step(world.state, event, world.now, context);
-    // A cancelled or refused attempt counts before the answer that follows from it.
+    // The actions are in order: a cancelled attempt is applied before the answer that follows it.
     for (const RequestAction &action : actions) {
         applyAction(world, action);
     }
@@ -155,7 +155,7 @@
     }
 }
 
-/** @return every event that can come up now, faults included */
+/** @return all events that are possible now, faults included */
 std::vector<NamedEvent> possibleEvents(const World &world)
 {
     std::vector<NamedEvent> events{{{.kind = EventKind::DeadlinePassed}, "deadline"},
@@ -174,7 +174,7 @@
     }
     if (world.state.stage == Stage::Waiting) {
         events.push_back({{.kind = EventKind::Woken}, "woken"});
-        events.push_back({{.kind = EventKind::WaitRefused}, "crowded"});
+        events.push_back({{.kind = EventKind::WaitRefused}, "wait-refused"});
     }
     if (world.state.stage == Stage::Running && (world.state.live.empty() || world.state.routingHedge)) {
         events.push_back({{.kind = EventKind::Routed}, "nowhere"});
@@ -196,7 +196,7 @@
     return events;
 }
 
-/** Follows every order of events to a depth. @return how many orders were followed */
+/** Explores every sequence of events to a depth. @return the number of explored sequences */
 unsigned explore(const World &world, unsigned depth)
 {
     if (depth == 0 || world.hasEnded()) {
@@ -242,8 +242,8 @@
 
 } // namespace
 
-// A learner pays twice, gets no answer, or is told "it did not run" of a payment that did: some fault came between two
-// steps of the request's life in an order that nobody had thought of. Here every order of events comes up.
+// Guards against a request that runs twice, gets no answer, or is reported as not run although it ran, because a fault
+// occurred between two steps in an order that wasn't considered. Every sequence of events is explored to a fixed depth.
 TEST_CASE("every fault at every step keeps the rules of a request")
 {
     constexpr unsigned Depth = 9;
@@ -256,8 +256,9 @@
     REQUIRE(orders > 10000);
 }
 
-// A granted claim is lost: the caller went away while control decided, and the id could never be used again.
-TEST_CASE("a claim granted to a request that has ended is given back")
+// Guards against a granted claim that is never released: the caller disconnects while control decides, and the id can't
+// be used again.
+TEST_CASE("a claim granted to a request that has ended is released")
 {
     World world = accepted("POST", true, true);
     applyEvent(world, {.kind = EventKind::CallerDisconnected}, "gone");
@@ -266,7 +267,7 @@
     REQUIRE(world.released);
 }
 
-// Requests are refused during a planned move: the old owner has stopped, the new one isn't known yet.
+// Guards against refusals during a planned move, when the previous owner has stopped and the next one isn't known yet.
 TEST_CASE("a request waits through a move as long as its deadline allows")
 {
     World world = accepted("POST", true, false);
@@ -283,9 +284,9 @@
     REQUIRE(world.state.ran == Ran::Yes);
 }
 
-// A burst of refusals follows the loss of a VM, though its keys have a new owner half a second later: three quick tries
-// at the lost agent used up what a request may do.
-TEST_CASE("a request waits for the next owner of its key when the present one can't be reached")
+// Guards against a burst of refusals after the loss of a VM, although its keys have a new owner half a second later:
+// three quick attempts at the lost agent would use up the request's tries.
+TEST_CASE("a request waits for the next owner of its key when the current one can't be reached")
 {
     World world = accepted("POST", true, false);
     for (unsigned attempt = 1; attempt <= 20; attempt++) {
@@ -299,10 +300,10 @@
 }
 
 /*
- * Keys move to another upstream, which takes a release, a commit and a grant: a quarter of a second. Their requests
- * were refused after the time that waiting for a slot is worth, and came back when an answer was late.
+ * A move of keys to another upstream takes a release, a commit and a grant: a quarter of a second. Requests refused
+ * after the shorter time that they may wait for a slot would be retried too late to meet their target.
  */
-TEST_CASE("a request waits for half of its target for a key on the move, and no longer")
+TEST_CASE("a request waits for half of its target for a key that is being moved, and no longer")
 {
     const auto refusedAfter = [](AttemptOutcome outcome) {
         World world = fresh("GET", true, false, false);
@@ -322,7 +323,7 @@
     CHECK(refusedAfter(AttemptOutcome::NotSent) <= 130ms);
 }
 
-TEST_CASE("a request of an unkeyed service asks another upstream at once when one has left")
+TEST_CASE("a request of an unkeyed service tries another upstream at once when one no longer serves")
 {
     World world = accepted("POST", false, false);
     applyEvent(world, {.kind = EventKind::Routed, .upstream = Far}, "far");
@@ -331,7 +332,7 @@
     REQUIRE(world.state.tried == std::vector<std::uint32_t>{Far});
 }
 
-TEST_CASE("a request that can't wait any longer is refused at once and truly")
+TEST_CASE("a request that can't wait any longer is refused at once, as not run and with a retry-after")
 {
     World world = accepted("POST", true, false);
     world.now = Start + 990ms;
@@ -343,7 +344,8 @@
     REQUIRE(actions[0].refusal.retryAfter);
 }
 
-// A payment runs after its caller was told that it did not: the agent was frozen while the request waited at the gate.
+// Guards against a request that runs after its caller was told that it did not: the agent is frozen while the request
+// waits at the gate.
 TEST_CASE("nothing is dispatched after its deadline")
 {
     World world = accepted("POST", true, false);
@@ -354,8 +356,8 @@
     REQUIRE(world.state.ran == Ran::No);
 }
 
-// A slow service gets several times its load: each failed read is sent again, by every agent.
-TEST_CASE("retries and hedges end with their budgets")
+// Guards against a retry storm: a slow service gets several times its load because each agent sends failed reads again.
+TEST_CASE("retries and hedges end when their budgets are used up")
 {
     World world = accepted("GET", false, false);
     world.retries.tokens = 1;
@@ -372,10 +374,10 @@
 }
 
 /*
- * An upstream answers 421 for every key: callers wait, and the upstream is sent the same requests again and again. Not
- * counted as second sends, they outgrew what all agents may send a second time.
+ * An upstream answers 421 for every key, and the same requests are sent to it repeatedly. If these sends were not
+ * counted as second sends, they would exceed the retry budget of all agents.
  */
-TEST_CASE("a request that its upstream disowned is sent again only out of the budget")
+TEST_CASE("a request whose key the upstream doesn't hold is sent again only within the retry budget")
 {
     World world = accepted("GET", true, false);
     world.retries.tokens = 1;
@@ -391,12 +393,11 @@
 }
 
 /*
- * Fifteen agents, each request forwarded to another one, an upstream that disowns all of them. The upstream is sent
- * more a second time than the agents' ratio allows where each request pays into two budgets: at the agent where it
- * began and at the one that it was forwarded to. In any window all agents together keep to the ratio and what they had
- * saved up.
+ * Fifteen agents forward each request to another one, and the upstream doesn't hold any of the keys. Second sends would
+ * exceed the agents' ratio if each request were counted in two budgets: at the agent that received it and at the one to
+ * which it was forwarded. In any window all agents together must stay within the ratio plus their saved tokens.
  */
-TEST_CASE("agents that share no state keep the common budget of second sends")
+TEST_CASE("agents that share no state stay within the common budget of second sends")
 {
     constexpr std::size_t Agents = 15;
     constexpr std::size_t PerSecond = 270;
@@ -445,9 +446,9 @@
     REQUIRE(world.mayHaveRun);
 }
 
-// A caller's resend of a payment that ran is told "unknown" though the answer was there: the first send was cancelled
-// when its caller lost the connection.
-TEST_CASE("a claimed request that may be running goes on without its caller")
+// Guards against answering "unknown" to the resend of a request that ran: the first send would be cancelled when its
+// caller disconnects, and its answer lost.
+TEST_CASE("a claimed request that may be running continues after its caller disconnects")
 {
     World world = accepted("POST", true, true);
     applyEvent(world, {.kind = EventKind::ClaimAnswered, .claim = ClaimAnswer::Granted}, "granted");
--- a/tests/RequestTraceTest.cpp
+++ b/tests/RequestTraceTest.cpp
@@ -44,7 +44,7 @@
                                                      : "unknown";
 }
 
-/** @return the action as traces state it, such as "forward 2" or "refuse 504 unknown" */
+/** @return the action in the form used in traces, such as "forward 2" or "refuse 504 unknown" */
 std::string text(const RequestAction &action)
 {
     const std::string attempt = " " + std::to_string(action.attempt);
@@ -102,7 +102,7 @@
     return read;
 }
 
-/** Replays one trace: each line's actions must be those that it states. */
+/** Replays one trace and requires the actions recorded for each of its events. */
 void replay(const std::filesystem::path &file)
 {
     const json trace = json::parse(std::ifstream(file));
@@ -125,7 +125,7 @@
 
 } // namespace
 
-TEST_CASE("recorded requests are replayed against the outcomes stated for them")
+TEST_CASE("recorded requests are replayed and give the recorded actions")
 {
     unsigned traces = 0;
     for (const auto &entry : std::filesystem::directory_iterator(std::string(TEST_DATA_FOLDER) + "/traces")) {
--- a/tests/RetryAfterTest.cpp
+++ b/tests/RetryAfterTest.cpp
@@ -8,9 +8,9 @@
 using namespace bergamotweir::agent;
 using namespace std::chrono_literals;
 
-// A treasurer's browser is refused because the owner of the key has just been lost, comes back after 0.2 s, is refused
-// again and gives up, half a second before the next owner serves the key.
-TEST_CASE("come back: later where an owner is missing than where there is no room, within callers' patience, spread")
+// Guards against a retry-after that is too short for the loss of an owner: a caller that retries after 0.2 s is refused
+// again and gives up half a second before the next owner serves the key.
+TEST_CASE("come back: longer without an owner than after an overload, jittered, and within callers' deadlines")
 {
     pcg32 random(3);
     std::set<std::chrono::milliseconds> overloadedDelays;
@@ -19,7 +19,7 @@
         overloadedDelays.insert(chooseRetryAfter(AttemptOutcome::Overloaded, random));
         noOwnerDelays.insert(chooseRetryAfter(AttemptOutcome::NotOwner, random));
     }
-    // A third of two seconds is the longest that a caller with that deadline waits.
+    // A caller with a deadline of two seconds waits for at most a third of it.
     CHECK(*noOwnerDelays.rbegin() < 667ms);
     CHECK(*noOwnerDelays.begin() >= 400ms);
     CHECK(*overloadedDelays.rbegin() <= 500ms);
--- a/tests/RouterTest.cpp
+++ b/tests/RouterTest.cpp
@@ -38,7 +38,7 @@
 
 } // namespace
 
-TEST_CASE("idle upstreams get load by their weights")
+TEST_CASE("idle upstreams get load in proportion to their weights")
 {
     ServiceRouting routing;
     const std::vector<Candidate> candidates{{1, 3, false}, {2, 1, false}};
@@ -47,8 +47,8 @@
     REQUIRE(counts.at(1) < 7700);
 }
 
-// One in four lookups is slow for half a minute: the straggler's own report still says that it is idle.
-TEST_CASE("a straggler is found by the latency seen, whatever it reports, and probed back")
+// Guards against a straggler that keeps its share of requests because its own load report still says that it is idle.
+TEST_CASE("a straggler is ejected by its observed latency at any reported load, and readmitted by probes")
 {
     ServiceRouting routing;
     answerAll(routing, 5, 5ms, Start);
@@ -69,8 +69,8 @@
     REQUIRE(routing.health.at(1).ejections == 0);
 }
 
-// Every upstream of a service is out at once: all of them failed for a moment.
-TEST_CASE("ejection takes out a third at most, and half while the others have room")
+// Guards against ejecting all upstreams of a service at the same time when all of them fail for a moment.
+TEST_CASE("at most a third of the upstreams is ejected, or half at low load")
 {
     for (const double load : {0.9, 0.1}) {
         ServiceRouting routing;
@@ -93,8 +93,9 @@
     }
 }
 
-// The tail is long at the start of each slow spell: until the first slow answer came back, the straggler got its share.
-TEST_CASE("an upstream from which nothing comes back gets nothing more until it does")
+// Guards against a long tail at the start of a slow period: the straggler would get its share of requests until its
+// first slow answer.
+TEST_CASE("an upstream that doesn't answer gets no further request until it does")
 {
     ServiceRouting routing;
     answerAll(routing, 5, 5ms, Start);
@@ -105,7 +106,7 @@
     REQUIRE(countChoices(routing, fourEqual(), 1000, Start + 20ms).count(1) == 1);
 }
 
-TEST_CASE("an upstream that sheds is avoided for a moment, not ejected")
+TEST_CASE("an upstream that sheds is avoided for a short time and not ejected")
 {
     ServiceRouting routing;
     answerAll(routing, 5, 5ms, Start);
@@ -119,7 +120,7 @@
     REQUIRE(countChoices(routing, fourEqual(), 1000, Start + 1s).at(1) > 150);
 }
 
-TEST_CASE("the local failure domain is preferred among upstreams alike, and not once it is busy")
+TEST_CASE("the local failure domain is preferred among upstreams of similar cost, unless it is busy")
 {
     ServiceRouting routing;
     const std::vector<Candidate> candidates{{1, 1, true}, {2, 1, false}};
@@ -131,7 +132,7 @@
     REQUIRE(countChoices(routing, candidates, 1000, Start).at(1) < 600);
 }
 
-TEST_CASE("a retry goes to another upstream, and nowhere when all were tried")
+TEST_CASE("a retry goes to another upstream, and to none when all were tried")
 {
     ServiceRouting routing;
     pcg32 random(7);
@@ -139,8 +140,8 @@
     REQUIRE(choose(routing, {{1, 1, false}}, {1}, random, Start) == 0);
 }
 
-// Bytes between failure domains are paid for. With all upstreams alike, two of three requests crossed one for nothing.
-TEST_CASE("an upstream of the own failure domain is taken while it has room, the others once it has none")
+// Traffic between failure domains costs money. Without a preference, two of three requests would cross one needlessly.
+TEST_CASE("an upstream of the local failure domain is chosen below its maximum load, the others above it")
 {
     ServiceRouting routing;
     routing.maxLocalLoad = 0.75;
