--- a/include/agent/AdaptiveLimit.h
+++ b/include/agent/AdaptiveLimit.h
@@ -44,7 +44,7 @@
     LimitPhase phase = LimitPhase::Cold;
     /** Latency of the uncongested upstream in its present state; 0 when not measured yet. */
     std::chrono::nanoseconds reference{0};
-    /** The limit was just cut, so answers to requests sent before the cut are not used as samples. */
+    /** The limit was just cut: the next window is ignored, as it has answers to requests sent before the cut. */
     bool isSettling = false;
     /** Consecutive windows whose latency was above the reference. */
     unsigned congestedWindows = 0;
--- a/src/agent/Gate.cpp
+++ b/src/agent/Gate.cpp
@@ -266,7 +266,7 @@
     }
     BootTime expiry = gate.displaced.empty() ? BootTime::max() : BootTime();
     for (const Ticket &waiting : gate.queue) {
-        // The time from which on processQueue() sheds the request.
+        // The earliest time at which processQueue() sheds the request.
         expiry = std::min({expiry, waiting.deadline - gate.serviceTime, expiresAt(waiting)});
     }
     if (gate.inProgress >= allowedNow(gate)) {
--- a/tests/HeldKeysTest.cpp
+++ b/tests/HeldKeysTest.cpp
@@ -85,8 +85,7 @@
  * later, and serves the slice until then. If the slice were released before that, two upstreams would hold its keys; if
  * its requests were refused before that, callers would be refused without need.
  */
-TEST_CASE(
-    "held keys: a revoked slice is served until the revoke is sent, and released once its upstream doesn't hold it")
+TEST_CASE("held keys: a revoked slice is served until the revoke is sent, and released once no longer held")
 {
     Agent agent;
     agent.hold(4);
@@ -122,8 +121,7 @@
  * agent, which knows of no hold, released a revoked slice immediately, another upstream would get keys that the first
  * one still holds until the old grant expires.
  */
-TEST_CASE("held keys: a new agent releases nothing before its upstream has reported what it holds, or its grants have "
-          "expired")
+TEST_CASE("held keys: a new agent releases nothing before its upstream has reported, or old grants have expired")
 {
     Agent agent;
     agent.ownership.servicesReported.clear();
--- a/tests/RequestStepTest.cpp
+++ b/tests/RequestStepTest.cpp
@@ -44,7 +44,7 @@
 void check(World &world, bool holds, const char *rule)
 {
     if (!holds) {
-        FAIL(rule << " violated after:" << world.history);
+        FAIL(rule << " broken after:" << world.history);
     }
 }
 
