--- a/include/control/Action.h
+++ b/include/control/Action.h
@@ -8,31 +8,34 @@
 
 namespace bergamotweir::control {
 
-/** Names a session with an agent; never 0, never used twice by one process. */
+/** Identifies a session with an agent; never 0 and never reused within one process. */
 using SessionId = std::uint64_t;
 
-/** Put a command into the replicated log; the outcome comes back as Coordinator::proposed(). */
+/** Appends a command to the replicated log; the outcome is reported through Coordinator::proposed(). */
 struct ProposeAction {
     std::uint64_t proposal = 0;
     wire::Command command;
 };
 
-/** Send a message on a session; messages keep their order. One message may go to many sessions. */
+/** Sends a message on a session; messages keep their order. One message may be shared by many sessions. */
 struct SendAction {
     SessionId session = 0;
     std::shared_ptr<const wire::ControlMessage> message;
 };
 
-/** Tell the agent who leads, and end the session. */
+/** Tells the agent which replica leads, and closes the session. */
 struct CloseAction {
     SessionId session = 0;
 };
 
-/** Ask a quorum, in a round begun after this, whether this replica leads; comes back as Coordinator::confirmed(). */
+/**
+ * Asks a quorum, in a round that begins after this action, whether this replica still leads. The answer is reported
+ * through Coordinator::confirmed().
+ */
 struct ConfirmAction {
 };
 
-/** What the coordinator wants done. */
+/** An action that the coordinator requests from the control process. */
 using Action = std::variant<ProposeAction, SendAction, CloseAction, ConfirmAction>;
 
 } // namespace bergamotweir::control
--- a/include/control/AgentRegistry.h
+++ b/include/control/AgentRegistry.h
@@ -11,7 +11,7 @@
 
 namespace bergamotweir::control {
 
-/** What the leader knows of one agent. */
+/** The leader's record of one agent. */
 struct AgentRecord {
     std::string name;
     std::string failureDomain;
@@ -19,32 +19,35 @@
     std::string incarnation;
     /** The newest session; 0 when there is none. */
     SessionId session = 0;
-    /** The full state has been sent on the session: changes follow it, renewals are answered. */
+    /** The full state has been sent on the session; from then on updates are sent and renewals are answered. */
     bool hasFullState = false;
     /**
-     * No lease that the agent may believe in ends later than this. Counted from the arrival of a renewal, which is
+     * Upper bound for the end of any lease that the agent may hold. Counted from the arrival of a renewal, which is
      * after the agent sent it, plus the drift margin.
      */
     BootTime leaseEnd;
-    /** The agent counts as heard of until this moment; it is not given up before. */
+    /** The agent is presumed alive until this moment and is not declared lost before. */
     BootTime presumedAliveUntil;
-    /** Another process under this name may still hold a lease: no lease is given before this moment. */
+    /** Another process under this name may still hold a lease; no lease is granted before this moment. */
     BootTime leaseBlockedUntil;
-    /** Upstreams of this agent that haven't announced themselves on the session by then count as gone. */
+    /** Upstreams of this agent that have not been announced on the session by then count as stopped. */
     BootTime announceDeadline;
-    /** Changes in flight that take slices from the agent without its Released: no lease is given meanwhile. */
+    /** Forced moves in flight, which take slices from the agent without its Released; no lease is granted meanwhile. */
     unsigned forcedMovesInFlight = 0;
-    /** Upstreams that don't check grants may until then be running what the agent's process before this one sent. */
+    /**
+     * Start of the agent's process. Upstreams that don't check grants may still run work that the predecessor sent
+     * before it.
+     */
     BootTime startedAt;
-    /** A process before this one under this name may still use shares of limits that this leader doesn't know. */
+    /** A predecessor under this name may still use shares of limits that this leader doesn't know. */
     bool hasUnknownPredecessor = false;
-    /** What the agent acts on. */
+    /** The version of the state that the agent has applied. */
     wire::Version appliedVersion;
     /** The upstreams announced on the session, by service and name. */
     std::map<std::pair<std::string, std::string>, wire::UpstreamInfo> announced;
 };
 
-/** @return the name of one process of an agent */
+/** @return the name of one process of an agent: its name and its incarnation */
 inline std::string incarnationIdOf(const std::string &agent, const std::string &incarnation)
 {
     return agent + " " + incarnation;
@@ -61,7 +64,7 @@
     return now < agent.leaseEnd;
 }
 
-/** @return true once the agent surely holds no lease and has not been heard of for a whole lease either */
+/** @return true once the agent can hold no lease and no message has come from it for a whole lease */
 inline bool isLost(const AgentRecord &agent, BootTime now)
 {
     return now >= agent.leaseEnd && now >= agent.presumedAliveUntil;
--- a/include/control/Coordinator.h
+++ b/include/control/Coordinator.h
@@ -28,19 +28,20 @@
 /** How a proposal of the coordinator ended. */
 enum class ProposalOutcome {
     Applied,
-    /** Not in the log, or nobody knows whether it is. */
+    /** Not in the log, or it is unknown whether it is. */
     Lost
 };
 
 /**
- * The leader's side of leases, sessions and moves: decides when a slice may get another owner, and tells the agents.
- * Owned by the control process; makes no system call: events and times come in, actions go out by takeActions().
- * Everything in it is volatile. What must survive is in State, which it reads and changes through proposals only.
+ * The leader's side of leases, sessions and moves: decides when a slice may get another owner, and notifies the agents.
+ * Owned by the control process. Makes no system calls: events and times are passed in, and actions are returned by
+ * takeActions(). All of its data is volatile. Durable data is in State, which it reads directly and changes only
+ * through proposals.
  *
- * Guards against two owners of one key, which shows when a frozen or cut-off agent goes on serving keys that another
- * has been granted. A slice changes hands only when its owner's agent has said Released for its present epoch, or when
- * no lease of that agent can still hold (and, where the upstream doesn't check grants, the longest deadline of work
- * in progress has passed as well).
+ * Prevents two owners of one key, which would occur if a frozen or partitioned agent went on serving keys that have
+ * been granted to another. A slice changes its owner only after the owner's agent has sent Released for the current
+ * epoch, or after every lease of that agent must have ended (and, where the upstream doesn't check grants, the longest
+ * deadline of work in progress has passed as well).
  */
 class Coordinator
 {
@@ -48,30 +49,30 @@
     /** @param state read at every decision; outlives the coordinator */
     Coordinator(const CoordinatorSettings &settings, const State &state);
 
-    /** This replica leads, and everything committed before has been applied. */
+    /** Starts leading: this replica leads, and everything committed before has been applied. */
     void lead(BootTime now);
-    /** This replica leads no longer: every session is closed. */
+    /** Stops leading: this replica is no longer the leader, and every session is closed. */
     void follow();
 
-    /** An agent opened a session. */
+    /** Handles a session that an agent has opened. */
     void opened(SessionId session, const wire::Hello &hello, BootTime now);
-    /** A session ended. */
+    /** Handles the end of a session. */
     void closed(SessionId session);
-    /** A message came on a session; a Hello means nothing here. */
+    /** Handles a message that arrived on a session; a Hello is ignored. */
     void received(SessionId session, const wire::AgentMessage &message, BootTime now);
 
-    /** A committed command was applied. Called before proposed() of the same command. */
+    /** Handles a committed command that has been applied. Called before proposed() of the same command. */
     void applied(const Applied &applied);
-    /** A proposal ended. */
+    /** Handles the end of a proposal. */
     void proposed(std::uint64_t proposal, ProposalOutcome outcome);
-    /** The confirmation round asked for last ended. */
+    /** Handles the end of the confirmation round that was requested last. */
     void confirmed(bool leads, BootTime now);
-    /** @param addresses where agents may look for a leader: IP:port of every control replica */
+    /** @param addresses where agents can find a leader: IP:port of every control replica */
     void setControls(std::vector<std::string> addresses);
-    /** Looks at everything that time alone brings about; to be called every 20 ms or so. */
+    /** Handles everything that depends on time alone; called about every 20 ms. */
     void tick(BootTime now);
 
-    /** @return what is to be done, in order; each action is handed out once */
+    /** @return the actions to carry out, in order; each action is returned once */
     std::vector<Action> takeActions();
 
     /** @return whether this replica leads */
@@ -80,19 +81,19 @@
     const MoveTracker &moves() const;
     const LimitAllocator &limits() const;
 
-    /** @return agents that act on @p version or a newer one, and agents with a serving upstream that don't */
+    /** @return agents that have applied @p version or a newer one, and agents with a serving upstream that have not */
     wire::InForceReport inForce(const wire::Version &version) const;
 
 private:
-    /** A heartbeat that waits for a confirmation round. */
+    /** A heartbeat that is waiting for a confirmation round. */
     struct Heartbeat {
         std::uint64_t sequence = 0;
-        BootTime arrival;
+        BootTime arrivedAt;
     };
 
-    /** What one confirmation round is for. */
+    /** The sessions and heartbeats that one confirmation round serves. */
     struct Round {
-        /** Sessions to be told the full state. */
+        /** Sessions to which the full state is to be sent. */
         std::vector<SessionId> opened;
         /** The newest heartbeat of each session. */
         std::unordered_map<SessionId, Heartbeat> heartbeats;
@@ -103,31 +104,32 @@
         }
     };
 
-    /** What a proposal in flight decides. */
+    /** The changes that a proposal in flight makes. */
     struct Proposal {
         std::vector<SliceName> slices;
-        /** Agent that an upstream, and with it its slices, is taken over from; empty otherwise. */
+        /** Agent from which an upstream and its slices are taken over; empty otherwise. */
         std::string previousAgent;
         /** Service and name; empty when no upstream changes. */
         std::pair<std::string, std::string> upstream;
-        /** Service whose slices are being cut; empty otherwise. */
-        std::string splits;
+        /** Service whose slices are being split or merged; empty otherwise. */
+        std::string splitService;
     };
 
-    /** When a service was looked at, and whether there is a reason to look again. */
-    struct Watch {
+    /** When the slices of a service are planned next, and what the last plan was based on. */
+    struct ServicePlan {
+        /** Something has changed since the last plan. */
         bool dirty = true;
-        /** Members at the last look. */
+        /** Members at the last plan. */
         std::vector<std::uint32_t> memberIds;
-        BootTime membersChanged;
+        BootTime membersChangedAt;
         BootTime nextCheckAt;
-        bool splitting = false;
-        /** The next change of members comes from an operator. */
+        bool splitInFlight = false;
+        /** The next change of members is an operator's, so load is rebalanced without a delay. */
         bool rebalanceAtOnce = false;
     };
 
     void send(SessionId session, wire::ControlMessage message);
-    /** Sends the changes that wait to every agent that has the full state. */
+    /** Sends the batched updates to every agent that has the full state. */
     void sendBatch();
     std::uint64_t propose(wire::Command command, Proposal proposal);
     void endMove(const SliceName &slice, ProposalOutcome outcome);
@@ -135,7 +137,7 @@
     void sendFullState(const std::vector<SessionId> &sessions);
     void renew(AgentRecord &agent, const Heartbeat &heartbeat, BootTime now);
     bool canRenew(const AgentRecord &agent, BootTime now) const;
-    /** @return whether every agent that may use shares of limits has told them to this leader */
+    /** @return whether every agent that may use shares of limits has reported them to this leader */
     bool allLimitsReported() const;
     bool mustPrecedeLease(const wire::UpstreamInfo &upstream) const;
     void sendRevokes(const std::vector<SliceName> &slices);
@@ -145,7 +147,7 @@
     void proposeUpstream(const wire::UpstreamInfo &upstream, const std::string &previousAgent);
     void reconcile(AgentRecord &agent, BootTime now);
     bool canMoveToAgent(const wire::UpstreamInfo &registered, const AgentRecord &agent, BootTime now) const;
-    /** @return whether another process that the agent announced has taken the upstream's address since */
+    /** @return whether @p later is a process that started after the upstream and listens at its address */
     static bool replacesUpstream(const wire::UpstreamInfo &later, const wire::UpstreamInfo &upstream);
     void retireUnannounced(AgentRecord &agent, BootTime now);
     void retireLost(BootTime now);
@@ -156,26 +158,26 @@
     std::vector<Member> membersOf(const std::string &service, BootTime now);
     /** @return the weight by which an upstream may own slices now; 0 when it may not */
     double weightOf(const wire::UpstreamInfo &upstream, BootTime now) const;
-    void recordMembers(Watch &watch, const std::vector<Member> &members, BootTime now) const;
+    void recordMembers(ServicePlan &servicePlan, const std::vector<Member> &members, BootTime now) const;
     bool proposeSplits(const std::string &service, const SliceMap &map, std::size_t memberCount, BootTime now);
     std::vector<SliceMove>
     wantedMoves(const std::string &service, const SliceMap &map, const std::vector<Member> &members, BootTime now);
-    /** Gives the slices of upstreams whose process has ended to the process that took its address. */
-    void passToSuccessors(const std::string &service, const SliceMap &map, BootTime now);
-    /** @return the upstream that listens at the ended one's address now and takes work; 0 for none */
+    /** Reassigns the slices of an upstream whose process has ended to the process that now listens at its address. */
+    void reassignToSuccessors(const std::string &service, const SliceMap &map, BootTime now);
+    /** @return the upstream that now listens at the ended one's address and may own slices; 0 for none */
     std::uint32_t successorOf(std::uint32_t ended, BootTime now) const;
     void beginMoves(const std::string &service,
                     const SliceMap &map,
                     const std::vector<SliceMove> &wanted,
                     const std::vector<Member> &members,
                     BootTime now);
-    /** @return whether nobody can still be working on the slice of an owner, so that it may be granted at once */
+    /** @return whether no work can still be running on slices of an owner, so that they may be granted at once */
     bool isSafeToReassign(std::uint32_t owner, BootTime now) const;
     void forceMovesOfLost(BootTime now);
-    /** Notes that a move needs no Released, and holds back the agent's lease until it's committed. */
+    /** Lets a move proceed without Released, and withholds the agent's lease until the move is committed. */
     void forceMove(Move &move);
     bool canReceiveSlices(std::uint32_t upstream, BootTime now) const;
-    void commitReleased(BootTime now);
+    void proposeReleased(BootTime now);
 
     CoordinatorSettings settings;
     const State &state;
@@ -185,15 +187,15 @@
     MoveTracker moveTracker;
     LoadTracker loads;
     LimitAllocator limitAllocator;
-    Round waiting;
-    Round inRound;
+    Round nextRound;
+    Round currentRound;
     std::map<std::uint64_t, Proposal> proposals;
     std::set<std::pair<std::string, std::string>> upstreamsInFlight;
-    std::map<std::string, Watch> watches;
+    std::map<std::string, ServicePlan> servicePlans;
     std::uint64_t lastProposal = 0;
     UpdateBatch batch;
     std::vector<std::string> controls;
-    BootTime lastTick;
+    BootTime lastTickAt;
     std::vector<Action> actions;
 };
 
--- a/include/control/LoadTracker.h
+++ b/include/control/LoadTracker.h
@@ -15,52 +15,55 @@
 struct LoadedSlice;
 
 /**
- * The loads that owners report, smoothed. Volatile: a new leader starts from the widths of slices and learns again.
+ * Smooths the loads that owners report. Volatile: a new leader starts from the widths of slices and collects reports
+ * again.
  * Owned by the coordinator.
  */
 class LoadTracker
 {
 public:
-    /** Share of a new report in the smoothed rate: which keys are busy changes within seconds, and reports come each.
+    /**
+     * Share of a new report in the smoothed rate. Reports arrive every second, and the set of busy keys changes within
+     * seconds.
      */
-    static constexpr double Weight = 0.3;
-    /** Hot keys remembered for a service; the coldest one makes room. */
+    static constexpr double SmoothingFactor = 0.3;
+    /** Maximum number of hot keys kept for a service; the coldest one is evicted for a new one. */
     static constexpr std::size_t MaxHotKeys = 1024;
 
-    /** Takes in what one heartbeat told. */
+    /** Adds the loads that one heartbeat reported. */
     void report(const wire::Renew &renew, BootTime now);
 
     /**
-     * Gives every slice its share of the service's load: four fifths by measured rate and the rest by width, so
-     * that slices nobody asks for are shared out too; by width alone where too little was measured.
+     * Sets the share of the service's load of every slice: four fifths by measured rate and the rest by width, so that
+     * slices without requests are balanced too; by width alone where too little was measured.
      */
     void distributeLoad(const std::string &service, const SliceMap &map, std::vector<LoadedSlice> &slices) const;
 
-    /** @return hashes of the keys which carry at least @p share of the service's rate, reported lately */
+    /** @return hashes of recently reported keys with at least @p share of the service's request rate */
     std::vector<std::uint64_t> hotKeys(const std::string &service, double share, BootTime now) const;
 
     /**
-     * Guards against a slow upstream that drowns while others idle. It shows as refusals at the upstreams that work
-     * longest on a request, each of which has as many requests as a fast one. Rightful shares follow the speed seen.
-     * An upstream that has answered nothing for a minute is forgotten.
-     * @return by upstream, how fast it is against the mean of its service; who isn't among them counts as 1
+     * Computes the relative speed of upstreams, by which target loads are scaled. With equal loads the upstreams with
+     * the longest work time per request would refuse requests as overloaded while fast ones are idle.
+     * The record of an upstream that has answered nothing for a minute is removed.
+     * @return by upstream, its speed relative to the mean of its service; an upstream without an entry counts as 1
      */
     std::unordered_map<std::uint32_t, double> relativeSpeeds(const std::string &service, BootTime now);
 
-    /** Forgets everything. */
+    /** Removes all records. */
     void clear();
 
 private:
     struct HotKey {
         double rate = 0;
-        BootTime reported;
+        BootTime reportedAt;
     };
 
-    /** How long an upstream works on a request. */
+    /** Work time of an upstream per request. */
     struct WorkTime {
-        /** Smoothed. */
+        /** Smoothed mean. */
         double seconds = 0;
-        BootTime reported;
+        BootTime reportedAt;
     };
 
     struct Service {
--- a/include/control/MoveTracker.h
+++ b/include/control/MoveTracker.h
@@ -12,36 +12,36 @@
 
 namespace bergamotweir::control {
 
-/** How far a move of a slice has come. */
+/** Phase of a move of a slice. */
 enum class MovePhase {
-    /** The owner's agent was asked to stop work on the slice and has not said that it ended. */
+    /** The owner's agent was asked to stop work on the slice and has not confirmed that it has. */
     Revoking,
-    /** The owner surely does no more work on the slice; the change of owner is to be proposed. */
+    /** The owner can do no more work on the slice; the change of owner is to be proposed. */
     Released,
-    /** The change of owner is in flight. */
+    /** The change of owner has been proposed and is in flight. */
     Committing,
 };
 
-/** A slice on its way from one owner to another. */
+/** A move of a slice from one owner to another. */
 struct Move {
-    /** Epoch of the holding that ends. */
+    /** Epoch of the ownership that the move ends. */
     std::uint64_t epoch = 0;
     std::uint32_t from = 0;
     /** 0 leaves the slice without an owner. */
     std::uint32_t to = 0;
     MovePhase phase = MovePhase::Revoking;
-    /** The lost agent it is taken from without its Released; empty otherwise. */
+    /** The lost agent from which the slice is taken without its Released; empty otherwise. */
     std::string previousAgent;
-    /** Work that nobody can be asked about has surely ended by then; the change of owner waits for it. */
+    /** Time by which work that no agent can report on must have ended; the change of owner waits for it. */
     BootTime notBefore;
-    /** What the owner's upstream gave out with its release, for the next one; may be empty. */
+    /** Handover text that the owner's upstream returned with its release, for the next owner; may be empty. */
     std::string handover;
 };
 
-/** A slice of a service. */
+/** Identifies a slice: its service and its first hash. */
 using SliceName = std::pair<std::string, std::uint64_t>;
 
-/** All moves that the leader has begun. Volatile, owned by the coordinator. */
+/** All moves in progress that the leader has begun. Volatile, owned by the coordinator. */
 class MoveTracker
 {
 public:
@@ -49,9 +49,9 @@
 
     /** @return the move of a slice, or nullptr */
     Move *find(const SliceName &slice);
-    /** @return how many moves leave or reach each upstream */
+    /** @return the number of moves from or to each upstream */
     std::unordered_map<std::uint32_t, std::size_t> countByUpstream() const;
-    /** @return first hashes of a service's slices on the move */
+    /** @return first hashes of a service's slices that are being moved */
     std::set<std::uint64_t> begins(const std::string &service) const;
 };
 
--- a/include/control/SliceMap.h
+++ b/include/control/SliceMap.h
@@ -9,13 +9,13 @@
 
 namespace bergamotweir::control {
 
-/** Who owns a slice and since which change of ownership. */
+/** The owner of a slice and the epoch of that ownership. */
 struct SliceHolding {
     /** Upstream id; 0 means no owner. */
     std::uint32_t owner = 0;
-    /** Grows by one at each change of owner, also when the owner gets back a slice that it had released. */
+    /** Increases by one at each change of owner, also when the owner gets back a slice that it had released. */
     std::uint64_t epoch = 0;
-    /** What the owner before gave out with its release; empty when it gave nothing. */
+    /** Handover text that the previous owner returned with its release; may be empty. */
     std::string handover = {};
 
     bool operator==(const SliceHolding &other) const = default;
@@ -23,7 +23,7 @@
 
 /**
  * The slices of one keyed service: consecutive ranges which together cover the whole key hash space.
- * Owned by the replicated state. Grows with slices, never with keys.
+ * Owned by the replicated state. Its size grows with the number of slices, not of keys.
  */
 class SliceMap
 {
@@ -34,43 +34,42 @@
     /**
      * @param count at least 1
      * @param grain every slice begins at a multiple of it
-     * @return that many slices of equal width, to a grain, without an owner
+     * @return that many slices without an owner, of equal width rounded to the alignment
      */
-    static SliceMap uniform(std::size_t count, std::uint64_t grain = 1);
+    static SliceMap uniform(std::size_t count, std::uint64_t alignment = 1);
 
     /** @return all slices, ordered by begin */
     const Slices &slices() const;
 
-    /** @return the slice that a hash falls into */
+    /** @return the slice that contains a hash */
     Slices::const_iterator at(std::uint64_t hash) const;
 
     /** @return the share of the hash space that a slice covers, in 0..1 */
     double width(Slices::const_iterator slice) const;
 
     /**
-     * Changes an owner, or splits a slice when begin lies inside one.
-     * Refuses everything that is neither the holding there (a mere split) nor the direct successor in epoch of a slice
-     * that begins just there: a proposal made from an older assignment, or from slices since merged, must not undo a
-     * newer one.
-     * @return false when refused; nothing changed then
+     * Changes the owner of a slice, or splits a slice when begin lies inside it.
+     * Accepts only the current holding there (a split) or the next epoch of a slice that begins exactly there, because
+     * a proposal based on an older assignment, or on slices merged since, must not undo a newer one.
+     * @return false when refused; nothing is changed then
      */
     bool put(const wire::SliceOwner &change);
 
     /**
-     * Merges a slice into the one before it; both must have the same owner. The merged slice takes an epoch beyond
-     * both: a Released said for either of them before must not count for the whole.
-     * @return false when refused; nothing changed then
+     * Merges a slice into the one before it; both must have the same owner. The merged slice gets an epoch above both,
+     * because a Released sent earlier for either of them must not count for the merged slice.
+     * @return false when refused; nothing is changed then
      */
     bool merge(std::uint64_t begin);
 
-    /** Replaces everything by slices of a snapshot. */
+    /** Replaces all slices by those of a snapshot. */
     void restore(const wire::ServiceSlices &from);
 
 private:
     Slices entries;
 };
 
-/** @return a slice as it travels between processes */
+/** @return a slice in wire form */
 wire::SliceOwner toWire(SliceMap::Slices::const_iterator slice);
 
 } // namespace bergamotweir::control
--- a/src/control/Assignment.cpp
+++ b/src/control/Assignment.cpp
@@ -10,105 +10,105 @@
 
 namespace {
 
-/** Loads closer than this count as equal: sums of doubles depend on their order. */
+/** Loads that differ by less than this are equal, because sums of doubles depend on their order. */
 constexpr double Epsilon = 1e-12;
 
-/** A member with what it carries while moves are being decided. */
-struct Share {
+/** The target load and the current load of a member while moves are being decided. */
+struct MemberLoad {
     std::uint32_t id = 0;
-    double rightful = 0;
+    double targetLoad = 0;
     double load = 0;
-    /** Movable slices by load; the number is the slice's place in the input. */
+    /** Movable slices by load; the number is the slice's index in the input. */
     std::set<std::pair<double, std::size_t>> slices;
 
     double ratio() const
     {
-        return this->load / this->rightful;
+        return this->load / this->targetLoad;
     }
 };
 
-/** Shares ordered by how full they are, so that both ends are at hand. */
+/** Members ordered by the ratio of load to target load, so that both extremes are found without a search. */
 class Balance
 {
 public:
     Balance(const std::vector<Member> &members, const std::vector<LoadedSlice> &slices)
     {
-        std::unordered_map<std::uint32_t, std::size_t> places;
+        std::unordered_map<std::uint32_t, std::size_t> indexes;
         double weights = 0;
         for (const Member &member : members) {
-            places.emplace(member.id, this->shares.size());
-            this->shares.push_back({.id = member.id, .rightful = member.weight, .load = 0, .slices = {}});
+            indexes.emplace(member.id, this->memberLoads.size());
+            this->memberLoads.push_back({.id = member.id, .targetLoad = member.weight, .load = 0, .slices = {}});
             weights += member.weight;
         }
         double total = 0;
         for (std::size_t number = 0; number < slices.size(); ++number) {
             const LoadedSlice &slice = slices[number];
             total += slice.load;
-            const auto place = places.find(slice.owner);
-            if (place == places.end()) {
+            const auto found = indexes.find(slice.owner);
+            if (found == indexes.end()) {
                 this->orphans.emplace_back(slice.load, number);
                 continue;
             }
-            Share &share = this->shares[place->second];
-            share.load += slice.load;
+            MemberLoad &memberLoad = this->memberLoads[found->second];
+            memberLoad.load += slice.load;
             if (!slice.moving) {
-                share.slices.emplace(slice.load, number);
+                memberLoad.slices.emplace(slice.load, number);
             }
         }
-        for (std::size_t place = 0; place < this->shares.size(); ++place) {
-            Share &share = this->shares[place];
-            share.rightful *= std::max(total, Epsilon) / weights;
-            this->byRatio.emplace(share.ratio(), place);
+        for (std::size_t index = 0; index < this->memberLoads.size(); ++index) {
+            MemberLoad &memberLoad = this->memberLoads[index];
+            memberLoad.targetLoad *= std::max(total, Epsilon) / weights;
+            this->byRatio.emplace(memberLoad.ratio(), index);
         }
     }
 
-    Share &fullest()
+    MemberLoad &mostLoaded()
     {
-        return this->shares[this->byRatio.rbegin()->second];
+        return this->memberLoads[this->byRatio.rbegin()->second];
     }
 
-    Share &emptiest()
+    MemberLoad &leastLoaded()
     {
-        return this->shares[this->byRatio.begin()->second];
+        return this->memberLoads[this->byRatio.begin()->second];
     }
 
-    void add(Share &share, double load, std::size_t number)
+    void add(MemberLoad &memberLoad, double load, std::size_t number)
     {
-        this->changeLoad(share, load);
-        share.slices.emplace(load, number);
+        this->changeLoad(memberLoad, load);
+        memberLoad.slices.emplace(load, number);
     }
 
-    void remove(Share &share, double load, std::size_t number)
+    void remove(MemberLoad &memberLoad, double load, std::size_t number)
     {
-        this->changeLoad(share, -load);
-        share.slices.erase({load, number});
+        this->changeLoad(memberLoad, -load);
+        memberLoad.slices.erase({load, number});
     }
 
-    std::vector<Share> shares;
+    std::vector<MemberLoad> memberLoads;
     std::vector<std::pair<double, std::size_t>> orphans;
 
 private:
-    void changeLoad(Share &share, double by)
+    void changeLoad(MemberLoad &memberLoad, double by)
     {
-        const auto place = static_cast<std::size_t>(&share - this->shares.data());
-        this->byRatio.erase({share.ratio(), place});
-        share.load += by;
-        this->byRatio.emplace(share.ratio(), place);
+        const auto index = static_cast<std::size_t>(&memberLoad - this->memberLoads.data());
+        this->byRatio.erase({memberLoad.ratio(), index});
+        memberLoad.load += by;
+        this->byRatio.emplace(memberLoad.ratio(), index);
     }
 
     std::set<std::pair<double, std::size_t>> byRatio;
 };
 
 /**
- * Picks what a member gives away: the smallest slice that meets the need, else the largest there is.
- * @param most larger slices would only turn the imbalance round
+ * Picks the slice to move away from a member: the smallest one that covers the need, or else the largest one.
+ * @param maxLoad upper bound of the load; larger slices would only reverse the imbalance
  */
-std::set<std::pair<double, std::size_t>>::const_iterator pick(const Share &from, double need, double most)
+std::set<std::pair<double, std::size_t>>::const_iterator pickSlice(const MemberLoad &from, double need, double maxLoad)
 {
     auto slice = from.slices.lower_bound({need - Epsilon, 0});
-    if (slice == from.slices.end() || slice->first > most) {
-        // Nothing meets the need within the bound; take the largest one that keeps it.
-        slice = from.slices.upper_bound({most, std::numeric_limits<std::size_t>::max()});
+    if (slice == from.slices.end() || slice->first > maxLoad) {
+        // No slice covers the need within the bound; take the largest one within the bound.
+        slice = from.slices.upper_bound({maxLoad, std::numeric_limits<std::size_t>::max()});
         if (slice == from.slices.begin()) {
             return from.slices.end();
         }
@@ -117,19 +117,19 @@
     return slice->first > Epsilon ? slice : from.slices.end();
 }
 
-/** @return the largest load which may go from the fuller to the emptier one without turning the imbalance round */
-double mostToMove(const Share &from, const Share &to)
+/** @return the largest load that can move between two members without reversing the imbalance */
+double maxLoadToMove(const MemberLoad &from, const MemberLoad &to)
 {
-    return (from.ratio() - to.ratio()) * std::min(from.rightful, to.rightful) - Epsilon;
+    return (from.ratio() - to.ratio()) * std::min(from.targetLoad, to.targetLoad) - Epsilon;
 }
 
-void placeOrphans(Balance &balance, const std::vector<LoadedSlice> &slices, std::vector<SliceMove> &moves)
+void assignOrphans(Balance &balance, const std::vector<LoadedSlice> &slices, std::vector<SliceMove> &moves)
 {
     std::sort(balance.orphans.begin(), balance.orphans.end(), [](const auto &left, const auto &right) {
         return left.first != right.first ? left.first > right.first : left.second < right.second;
     });
     for (const auto &[load, number] : balance.orphans) {
-        Share &to = balance.emptiest();
+        MemberLoad &to = balance.leastLoaded();
         if (slices[number].moving) {
             continue;
         }
@@ -138,12 +138,12 @@
     }
 }
 
-/** Moves one slice from the fullest to the emptiest member. @return false when no slice fits */
-bool moveOne(Balance &balance, double need, const std::vector<LoadedSlice> &slices, std::vector<SliceMove> &moves)
+/** Moves one slice from the most to the least loaded member. @return false when no slice fits */
+bool moveSlice(Balance &balance, double need, const std::vector<LoadedSlice> &slices, std::vector<SliceMove> &moves)
 {
-    Share &from = balance.fullest();
-    Share &to = balance.emptiest();
-    const auto slice = pick(from, need, mostToMove(from, to));
+    MemberLoad &from = balance.mostLoaded();
+    MemberLoad &to = balance.leastLoaded();
+    const auto slice = pickSlice(from, need, maxLoadToMove(from, to));
     if (slice == from.slices.end()) {
         return false;
     }
@@ -154,32 +154,35 @@
     return true;
 }
 
-void level(Balance &balance, double tolerance, const std::vector<LoadedSlice> &slices, std::vector<SliceMove> &moves)
+void rebalance(Balance &balance,
+               double tolerance,
+               const std::vector<LoadedSlice> &slices,
+               std::vector<SliceMove> &moves)
 {
-    const std::size_t most = slices.size();
-    for (std::size_t count = 0; count < most; ++count) {
-        const Share &from = balance.fullest();
-        const Share &to = balance.emptiest();
-        const double above = from.load - from.rightful * (1 + tolerance);
-        const double below = to.rightful * (1 - tolerance) - to.load;
+    const std::size_t maxMoves = slices.size();
+    for (std::size_t count = 0; count < maxMoves; ++count) {
+        const MemberLoad &from = balance.mostLoaded();
+        const MemberLoad &to = balance.leastLoaded();
+        const double above = from.load - from.targetLoad * (1 + tolerance);
+        const double below = to.targetLoad * (1 - tolerance) - to.load;
         const double need = std::max(above, below);
-        if (need <= Epsilon || !moveOne(balance, need, slices, moves)) {
+        if (need <= Epsilon || !moveSlice(balance, need, slices, moves)) {
             return;
         }
     }
 }
 
-/** A slice that was moved twice on the way to the result moves once. */
-std::vector<SliceMove> withoutDetours(const std::vector<SliceMove> &moves)
+/** Combines several moves of one slice into one, and drops those that end where they began. */
+std::vector<SliceMove> combineMoves(const std::vector<SliceMove> &moves)
 {
     std::vector<SliceMove> direct;
-    std::unordered_map<std::uint64_t, std::size_t> places;
+    std::unordered_map<std::uint64_t, std::size_t> indexes;
     for (const SliceMove &move : moves) {
-        const auto [place, added] = places.emplace(move.begin, direct.size());
+        const auto [entry, added] = indexes.emplace(move.begin, direct.size());
         if (added) {
             direct.push_back(move);
         } else {
-            direct[place->second].to = move.to;
+            direct[entry->second].to = move.to;
         }
     }
     std::erase_if(direct, [](const SliceMove &move) {
@@ -198,9 +201,9 @@
     }
     Balance balance(members, slices);
     std::vector<SliceMove> moves;
-    placeOrphans(balance, slices, moves);
-    level(balance, tolerance, slices, moves);
-    return withoutDetours(moves);
+    assignOrphans(balance, slices, moves);
+    rebalance(balance, tolerance, slices, moves);
+    return combineMoves(moves);
 }
 
 double minChurn(const std::vector<Member> &members, const std::vector<LoadedSlice> &slices, double tolerance)
@@ -209,26 +212,26 @@
         return 0;
     }
     const Balance balance(members, slices);
-    double must = 0;
+    double excess = 0;
     for (const auto &[load, number] : balance.orphans) {
-        must += load;
+        excess += load;
     }
-    double wanted = 0;
-    double total = must;
-    for (const Share &share : balance.shares) {
-        total += share.load;
-        must += std::max(0.0, share.load - share.rightful * (1 + tolerance));
-        wanted += std::max(0.0, share.rightful * (1 - tolerance) - share.load);
+    double deficit = 0;
+    double total = excess;
+    for (const MemberLoad &memberLoad : balance.memberLoads) {
+        total += memberLoad.load;
+        excess += std::max(0.0, memberLoad.load - memberLoad.targetLoad * (1 + tolerance));
+        deficit += std::max(0.0, memberLoad.targetLoad * (1 - tolerance) - memberLoad.load);
     }
-    return std::max(must, wanted) / std::max(total, Epsilon);
+    return std::max(excess, deficit) / std::max(total, Epsilon);
 }
 
 double imbalance(const std::vector<Member> &members, const std::vector<LoadedSlice> &slices)
 {
     const Balance balance(members, slices);
     double worst = 0;
-    for (const Share &share : balance.shares) {
-        worst = std::max(worst, share.ratio());
+    for (const MemberLoad &memberLoad : balance.memberLoads) {
+        worst = std::max(worst, memberLoad.ratio());
     }
     return worst;
 }
--- a/src/control/Coordinator.cpp
+++ b/src/control/Coordinator.cpp
@@ -12,10 +12,11 @@
 namespace {
 
 /**
- * Full states sent in one turn. After a change of leader every agent comes at once; a leader that serialises hundreds
- * of full states without a pause sends no heartbeat meanwhile and is voted out, and so is the next one.
+ * Maximum number of full states sent in one confirmation round. After a change of leader all agents connect at once. A
+ * leader that serialises hundreds of full states without a break sends no heartbeats meanwhile and loses its
+ * leadership, and so does the next one.
  */
-constexpr std::size_t MostInformedAtOnce = 16;
+constexpr std::size_t MaxFullStatesPerRound = 16;
 
 } // namespace
 
@@ -31,8 +32,8 @@
     this->follow();
     this->leading = true;
     beginLeading(this->limitAllocator, now);
-    // The leader before may have renewed any lease up to the moment a quorum elected this one, and a grant made by
-    // this one must not overlap with it: every known agent counts as renewed now.
+    // The previous leader may have renewed any lease until a quorum elected this one, and grants made by this leader
+    // must not overlap with such a lease. Therefore every known agent is treated as renewed now.
     for (const auto &[id, upstream] : this->state.upstreams().all()) {
         AgentRecord &agent = this->agentRegistry.getOrCreate(upstream.agent());
         agent.failureDomain = upstream.failure_domain();
@@ -55,17 +56,17 @@
     this->agentRegistry.clear();
     this->moveTracker.moves.clear();
     this->loads.clear();
-    this->waiting = {};
-    this->inRound = {};
+    this->nextRound = {};
+    this->currentRound = {};
     this->proposals.clear();
     this->upstreamsInFlight.clear();
-    this->watches.clear();
+    this->servicePlans.clear();
     this->batch = {};
 }
 
 void Coordinator::opened(SessionId session, const wire::Hello &hello, BootTime now)
 {
-    // An agent that has seen a newer version than this replica would go back to an older one.
+    // An agent that has seen a newer version than this replica has must not be sent an older state.
     if (!this->leading || isBefore(this->state.version(), hello.seen())) {
         this->actions.emplace_back(CloseAction{session});
         return;
@@ -75,19 +76,20 @@
         this->actions.emplace_back(CloseAction{agent.session});
     }
     if (agent.incarnation != hello.incarnation()) {
-        // Two processes under one name: a VM was replaced while its predecessor is frozen and may return.
+        // Two processes use one name: a VM was replaced, and the predecessor is frozen and may resume.
         const bool movedVm = agent.peerAddress != hello.peer_address();
-        const bool ended = this->settings.addressReuseProvesExit && !movedVm;
-        if (ended) {
+        const bool predecessorExited = this->settings.addressReuseProvesExit && !movedVm;
+        if (predecessorExited) {
             transferShares(
                 this->limitAllocator, incarnationIdOf(agent), incarnationIdOf(agent.name, hello.incarnation()), now);
         } else if (!agent.incarnation.empty() && !isKnown(this->limitAllocator, incarnationIdOf(agent))) {
             agent.hasUnknownPredecessor = true;
         }
-        agent.leaseBlockedUntil = ended ? now : agent.leaseEnd;
+        agent.leaseBlockedUntil = predecessorExited ? now : agent.leaseEnd;
         for (const std::uint32_t id : this->state.upstreams().ofAgent(agent.name)) {
             const auto work = movedVm ? this->maxWorkTime(*this->state.upstreams().find(id)) : BootClock::duration(0);
-            agent.leaseBlockedUntil = ended ? now : std::max(agent.leaseBlockedUntil, agent.leaseEnd + work);
+            agent.leaseBlockedUntil =
+                predecessorExited ? now : std::max(agent.leaseBlockedUntil, agent.leaseEnd + work);
         }
     }
     this->agentRegistry.attachSession(agent, session);
@@ -98,13 +100,13 @@
     agent.presumedAliveUntil = std::max(agent.presumedAliveUntil, now + this->settings.lease);
     agent.announceDeadline = now + this->settings.announceGrace;
     agent.startedAt = now - std::chrono::milliseconds(hello.uptime_ms());
-    // Guards against agents that take a busy leader for a dead one. It shows when all agents come at once after a loss
-    // of power: the full state of the last one is due after seconds, and each that leaves and comes back makes that
-    // later. A word at once costs a few bytes and says that waiting is worth it.
+    // Accepted is sent at once, for a few bytes, so that agents don't take a busy leader for a failed one. After a loss
+    // of power all agents connect at once, and the last full state is sent only after seconds. Each agent that
+    // disconnects and connects again would delay it further.
     wire::ControlMessage accepted;
     accepted.mutable_accepted();
     this->actions.emplace_back(SendAction{session, std::make_shared<const wire::ControlMessage>(std::move(accepted))});
-    this->waiting.opened.push_back(session);
+    this->nextRound.opened.push_back(session);
     this->startRound();
 }
 
@@ -127,9 +129,9 @@
         if (isBefore(agent->appliedVersion, message.renew().in_force())) {
             agent->appliedVersion = message.renew().in_force();
         }
-        // The round begins at the next tick: one round then carries every renewal of that time, and an idle control
-        // group exchanges messages by the tick and not by the number of agents.
-        this->waiting.heartbeats[session] = {.sequence = message.renew().sequence(), .arrival = now};
+        // The round begins at the next tick. One round then serves all renewals since the last tick, and the message
+        // rate of an idle control group depends on the tick and not on the number of agents.
+        this->nextRound.heartbeats[session] = {.sequence = message.renew().sequence(), .arrivedAt = now};
         break;
     case wire::AgentMessage::kUpstream:
         this->receivedUpstream(*agent, message.upstream());
@@ -137,7 +139,7 @@
         break;
     case wire::AgentMessage::kReleased:
         this->receivedReleased(*agent, message.released());
-        this->commitReleased(now);
+        this->proposeReleased(now);
         break;
     case wire::AgentMessage::kCrash: {
         wire::Command command;
@@ -161,13 +163,13 @@
         this->sendBatch();
     }
     for (const wire::UpstreamInfo &upstream : applied.update.upstreams()) {
-        this->watches[upstream.service()].dirty = true;
+        this->servicePlans[upstream.service()].dirty = true;
     }
     if (applied.update.has_table()) {
         for (const auto &[service, map] : this->state.services()) {
-            // Operators' changes are waited for by people; only restarts are worth waiting out.
-            this->watches[service].dirty = true;
-            this->watches[service].rebalanceAtOnce = true;
+            // Operators expect their changes to take effect at once; only restarts justify a delay.
+            this->servicePlans[service].dirty = true;
+            this->servicePlans[service].rebalanceAtOnce = true;
         }
     }
 }
@@ -184,9 +186,9 @@
         --this->agentRegistry.getOrCreate(ended.previousAgent).forcedMovesInFlight;
     }
     this->upstreamsInFlight.erase(ended.upstream);
-    if (!ended.splits.empty()) {
-        this->watches[ended.splits].splitting = false;
-        this->watches[ended.splits].dirty = true;
+    if (!ended.splitService.empty()) {
+        this->servicePlans[ended.splitService].splitInFlight = false;
+        this->servicePlans[ended.splitService].dirty = true;
     }
     for (const SliceName &slice : ended.slices) {
         this->endMove(slice, outcome);
@@ -197,7 +199,7 @@
 {
     Move &move = this->moveTracker.moves.at(slice);
     if (outcome != ProposalOutcome::Applied) {
-        // The lease of an agent that it's taken from stays held back: the change is proposed again.
+        // The lease of an agent that loses the slice stays withheld, because the change is proposed again.
         move.phase = MovePhase::Released;
         return;
     }
@@ -213,10 +215,10 @@
         return;
     }
     this->roundInFlight = false;
-    const Round round = std::exchange(this->inRound, {});
+    const Round round = std::exchange(this->currentRound, {});
     if (!leads) {
-        // Heartbeats come again by themselves; the next round is for tick() to begin.
-        this->waiting.opened.insert(this->waiting.opened.end(), round.opened.begin(), round.opened.end());
+        // Agents send heartbeats again anyway; tick() begins the next round.
+        this->nextRound.opened.insert(this->nextRound.opened.end(), round.opened.begin(), round.opened.end());
         return;
     }
     this->sendFullState(round.opened);
@@ -226,7 +228,7 @@
             this->renew(*agent, heartbeat, now);
         }
     }
-    if (!this->waiting.opened.empty()) {
+    if (!this->nextRound.opened.empty()) {
         this->startRound();
     }
 }
@@ -237,9 +239,9 @@
         return;
     }
     this->controls = std::move(addresses);
-    // Guards against agents that look for the next leader among replicas that are gone: told at the session's start
-    // alone, they would know the first three for ever, of which two may be down for long. The message claims to be as
-    // new as the state, so what waits to be told goes first.
+    // Agents get the new addresses at once, so that they don't search for the next leader among removed replicas. With
+    // the addresses of the session's start alone they would use the first three replicas forever, of which two may be
+    // down for long. The message carries the version of the state, so the batched updates are sent first.
     this->sendBatch();
     wire::ControlMessage message;
     *message.mutable_update()->mutable_version() = this->state.version();
@@ -257,7 +259,7 @@
     if (!this->leading) {
         return;
     }
-    this->lastTick = now;
+    this->lastTickAt = now;
     this->batch.isIdle = now - this->batch.sentAt >= UpdateBatch::MinInterval;
     if (this->batch.isIdle) {
         this->sendBatch();
@@ -276,7 +278,7 @@
     }
     this->forceMovesOfLost(now);
     this->planAll(now);
-    this->commitReleased(now);
+    this->proposeReleased(now);
 }
 
 std::vector<Action> Coordinator::takeActions()
@@ -317,7 +319,7 @@
             expected.insert(name);
         }
     }
-    // A mark that changes nothing is committed, but not sent: agents never reach its version, nor need to.
+    // A mark that changes nothing is committed but not sent, so agents never reach its version and needn't.
     const wire::Version &needed =
         isBefore(this->state.visibleVersion(), version) ? this->state.visibleVersion() : version;
     wire::InForceReport report;
@@ -335,7 +337,7 @@
         return;
     }
     wire::ControlMessage message;
-    *message.mutable_update() = take(this->batch, this->lastTick);
+    *message.mutable_update() = take(this->batch, this->lastTickAt);
     const auto shared = std::make_shared<const wire::ControlMessage>(std::move(message));
     for (const auto &[name, agent] : this->agentRegistry.agents) {
         if (agent.hasFullState) {
@@ -346,8 +348,8 @@
 
 void Coordinator::send(SessionId session, wire::ControlMessage message)
 {
-    // Guards against an agent whose lease is renewed, or which is asked to release, before it hears of a slice that
-    // was taken from it: it would go on serving the slice beside the new owner. Nothing overtakes a moved slice.
+    // No message may overtake the update of a moved slice. An agent whose lease is renewed, or which is asked to
+    // release, before it receives the update would go on serving a slice that has another owner.
     if (movesSlices(this->batch)) {
         this->sendBatch();
     }
@@ -356,37 +358,37 @@
 
 std::uint64_t Coordinator::propose(wire::Command command, Proposal proposal)
 {
-    const std::uint64_t name = ++this->lastProposal;
+    const std::uint64_t proposalId = ++this->lastProposal;
     if (!proposal.previousAgent.empty()) {
         ++this->agentRegistry.getOrCreate(proposal.previousAgent).forcedMovesInFlight;
     }
     if (!proposal.upstream.second.empty()) {
         this->upstreamsInFlight.insert(proposal.upstream);
     }
-    this->proposals.emplace(name, std::move(proposal));
-    this->actions.emplace_back(ProposeAction{name, std::move(command)});
-    return name;
+    this->proposals.emplace(proposalId, std::move(proposal));
+    this->actions.emplace_back(ProposeAction{proposalId, std::move(command)});
+    return proposalId;
 }
 
 void Coordinator::startRound()
 {
-    if (!this->leading || this->roundInFlight || this->waiting.empty()) {
+    if (!this->leading || this->roundInFlight || this->nextRound.empty()) {
         return;
     }
-    this->inRound.heartbeats = std::exchange(this->waiting.heartbeats, {});
-    const std::size_t count = std::min(this->waiting.opened.size(), MostInformedAtOnce);
-    const auto end = this->waiting.opened.begin() + static_cast<std::ptrdiff_t>(count);
-    this->inRound.opened.assign(this->waiting.opened.begin(), end);
-    this->waiting.opened.erase(this->waiting.opened.begin(), end);
+    this->currentRound.heartbeats = std::exchange(this->nextRound.heartbeats, {});
+    const std::size_t count = std::min(this->nextRound.opened.size(), MaxFullStatesPerRound);
+    const auto end = this->nextRound.opened.begin() + static_cast<std::ptrdiff_t>(count);
+    this->currentRound.opened.assign(this->nextRound.opened.begin(), end);
+    this->nextRound.opened.erase(this->nextRound.opened.begin(), end);
     this->roundInFlight = true;
     this->actions.emplace_back(ConfirmAction{});
 }
 
 void Coordinator::sendFullState(const std::vector<SessionId> &sessions)
 {
-    // The changes that wait are in the full state already. Sent later they change nothing: a batch ends with the
-    // newest word on each thing that it names.
-    // After a change of leader every agent comes at once: they share one message, not a copy of the state each.
+    // The full state already contains the batched updates. Sending them later changes nothing, because a batch ends
+    // with the newest value of each item that it names.
+    // After a change of leader all agents connect at once, so they share one message instead of a copy each.
     std::shared_ptr<wire::ControlMessage> message;
     for (const SessionId session : sessions) {
         AgentRecord *const agent = this->agentRegistry.findBySession(session);
--- a/src/control/CoordinatorAgents.cpp
+++ b/src/control/CoordinatorAgents.cpp
@@ -14,27 +14,27 @@
 
 void Coordinator::renew(AgentRecord &agent, const Heartbeat &heartbeat, BootTime now)
 {
-    // The full state went ahead, in this round at the latest: an agent must not serve by what it knew before.
+    // The full state was sent earlier, in this round at the latest. An agent must not serve from older state.
     assert(agent.hasFullState);
     wire::ControlMessage message;
     message.mutable_renewed()->set_sequence(heartbeat.sequence);
     if (this->canRenew(agent, now)) {
         message.mutable_renewed()->set_lease_ms(static_cast<std::uint32_t>(this->settings.lease.count()));
-        const BootTime end = heartbeat.arrival + this->settings.lease + this->settings.drift;
+        const BootTime end = heartbeat.arrivedAt + this->settings.lease + this->settings.drift;
         if (!mayHoldLease(agent, now)) {
-            // It counts as a member again.
+            // Its upstreams count as members again.
             for (const auto &[upstream, info] : agent.announced) {
-                this->watches[info.service()].dirty = true;
+                this->servicePlans[info.service()].dirty = true;
             }
         }
         agent.leaseEnd = std::max(agent.leaseEnd, end);
     }
-    // Shares go to registered agents alone: a later leader must know who may use some.
+    // Only registered agents get shares, because a later leader must know which agents may use some.
     if (!this->state.upstreams().ofAgent(agent.name).empty()) {
         grantShares(this->limitAllocator,
                     incarnationIdOf(agent),
                     this->state.tables().table().routes(),
-                    heartbeat.arrival,
+                    heartbeat.arrivedAt,
                     now,
                     *message.mutable_renewed());
     }
@@ -53,12 +53,12 @@
 
 bool Coordinator::canRenew(const AgentRecord &agent, BootTime now) const
 {
-    // Slices are being taken from it: it would go on serving them until it hears of the commit.
+    // Slices are being taken from the agent; with a lease it would serve them until it receives the commit.
     if (agent.forcedMovesInFlight > 0 || now < agent.leaseBlockedUntil) {
         return false;
     }
-    // The log must know which process serves under this name before that process gets a lease: a later leader holds
-    // back any other one.
+    // The log must record which process serves under this name before that process gets a lease, because a later
+    // leader withholds the lease from any other process.
     const std::set<std::uint32_t> &own = this->state.upstreams().ofAgent(agent.name);
     return std::all_of(own.begin(), own.end(), [&](std::uint32_t id) {
         const wire::UpstreamInfo &upstream = *this->state.upstreams().find(id);
@@ -66,7 +66,7 @@
     });
 }
 
-/** @return false for an upstream that ended and owns nothing any more: no lease stands for it */
+/** @return false for an upstream that has stopped and owns no slices, so that no lease covers it */
 bool Coordinator::mustPrecedeLease(const wire::UpstreamInfo &upstream) const
 {
     if (upstream.serving()) {
@@ -92,10 +92,10 @@
 bool Coordinator::canMoveToAgent(const wire::UpstreamInfo &registered, const AgentRecord &agent, BootTime now) const
 {
     if (registered.agent() == agent.name) {
-        // Until the process before it under this name surely holds no lease, the log goes on naming that one.
+        // The log names the predecessor under this name until that process can hold no lease.
         return registered.agent_incarnation() == agent.incarnation || now >= agent.leaseBlockedUntil;
     }
-    // Taking an upstream over from another agent hands on all its slices.
+    // An upstream that is taken over from another agent keeps all its slices.
     const AgentRecord *const other = this->agentRegistry.find(registered.agent());
     return other == nullptr || (isLost(*other, now) && now >= other->leaseEnd + this->maxWorkTime(registered));
 }
@@ -127,9 +127,9 @@
 }
 
 /**
- * Guards against keys that nobody serves after a loss of power. It shows as 3.5 s of refusals once the leader and all
- * agents are back: each agent is given that long to announce the upstreams that it had, though another process listens
- * at their address by then and proves that they ended.
+ * Retires upstreams of an agent that it hasn't announced by its announceDeadline. An upstream is retired at once when
+ * another process listens at its address, which proves that it has exited. Without this, its keys would be refused for
+ * 3.5 s after a loss of power, once the leader and all agents are running again.
  */
 void Coordinator::retireUnannounced(AgentRecord &agent, BootTime now)
 {
@@ -139,14 +139,14 @@
     for (const std::uint32_t id : this->state.upstreams().ofAgent(agent.name)) {
         wire::UpstreamInfo upstream = *this->state.upstreams().find(id);
         const std::pair name(upstream.service(), upstream.name());
-        const bool gone = !upstream.serving() && upstream.agent_incarnation() == agent.incarnation;
-        if (gone || agent.announced.contains(name) || this->upstreamsInFlight.contains(name)) {
+        const bool alreadyRetired = !upstream.serving() && upstream.agent_incarnation() == agent.incarnation;
+        if (alreadyRetired || agent.announced.contains(name) || this->upstreamsInFlight.contains(name)) {
             continue;
         }
-        const bool replaced = std::any_of(agent.announced.begin(), agent.announced.end(), [&](const auto &entry) {
+        const bool isReplaced = std::any_of(agent.announced.begin(), agent.announced.end(), [&](const auto &entry) {
             return replacesUpstream(entry.second, upstream);
         });
-        if (now < agent.announceDeadline && !replaced) {
+        if (now < agent.announceDeadline && !isReplaced) {
             continue;
         }
         upstream.set_serving(false);
@@ -166,7 +166,7 @@
             if (!upstream.serving() || this->upstreamsInFlight.contains({upstream.service(), upstream.name()})) {
                 continue;
             }
-            this->watches[upstream.service()].dirty = true;
+            this->servicePlans[upstream.service()].dirty = true;
             upstream.set_serving(false);
             this->proposeUpstream(upstream, {});
         }
@@ -175,7 +175,7 @@
 
 std::chrono::nanoseconds Coordinator::maxWorkTime(const wire::UpstreamInfo &upstream) const
 {
-    // An upstream that checks grants refuses what comes after the grant's end; any other may still be running what
+    // An upstream that checks grants refuses requests after the grant has ended. Any other may still run a request that
     // its agent dispatched just before the lease ended.
     if (upstream.checks_grants()) {
         return std::chrono::nanoseconds(0);
--- a/src/control/CoordinatorMoves.cpp
+++ b/src/control/CoordinatorMoves.cpp
@@ -12,10 +12,10 @@
 
 namespace {
 
-/** A key gets a slice of its own from this part of an upstream's rightful load on. */
-constexpr double HotKeyPart = 0.25;
+/** Minimum share of an upstream's target load at which a key gets a slice of its own. */
+constexpr double MinHotKeyShare = 0.25;
 
-wire::SliceRef refTo(const SliceName &slice, std::uint64_t epoch)
+wire::SliceRef makeSliceRef(const SliceName &slice, std::uint64_t epoch)
 {
     wire::SliceRef ref;
     ref.set_service(slice.first);
@@ -41,7 +41,7 @@
         const wire::UpstreamInfo *const owner = this->state.upstreams().find(move.from);
         const AgentRecord *const agent = owner == nullptr ? nullptr : this->agentRegistry.find(owner->agent());
         if (agent != nullptr && agent->hasFullState) {
-            *messages[agent->session].mutable_revoke()->add_slices() = refTo(slice, move.epoch);
+            *messages[agent->session].mutable_revoke()->add_slices() = makeSliceRef(slice, move.epoch);
         }
     }
     for (auto &[session, message] : messages) {
@@ -78,7 +78,8 @@
         }
         const SliceName name(ref.service(), ref.begin());
         if (this->moveTracker.find(name) == nullptr) {
-            // Revoked by a leader that is gone: nobody serves it until it gets a new epoch, its owner or another.
+            // Revoked by a previous leader. The slice stays unserved until it gets a new epoch, for its owner or
+            // another.
             this->moveTracker.moves[name] = {.epoch = ref.epoch(),
                                              .from = owner->id(),
                                              .to = owner->id(),
@@ -90,7 +91,7 @@
         if (move.phase == MovePhase::Revoking) {
             move.phase = MovePhase::Released;
             move.handover = ref.handover();
-            // A restarted agent says Released for what it knows of; its predecessor may have sent more.
+            // A restarted agent sends Released for the requests that it knows; its predecessor may have sent more.
             move.notBefore = agent.startedAt + this->maxWorkTime(*owner);
         }
     }
@@ -149,32 +150,32 @@
     return tables.table().upstream(known.service, known.failureDomain, known.name).weight;
 }
 
-void Coordinator::recordMembers(Watch &watch, const std::vector<Member> &members, BootTime now) const
+void Coordinator::recordMembers(ServicePlan &servicePlan, const std::vector<Member> &members, BootTime now) const
 {
     std::vector<std::uint32_t> ids;
     ids.reserve(members.size());
     for (const Member &member : members) {
         ids.push_back(member.id);
     }
-    if (ids != watch.memberIds) {
-        watch.memberIds = std::move(ids);
-        // Load is evened out once a quiet time has passed since then, in which a restarted upstream may have returned.
-        watch.membersChanged = watch.rebalanceAtOnce ? now - this->settings.rebalanceDelay : now;
+    if (ids != servicePlan.memberIds) {
+        servicePlan.memberIds = std::move(ids);
+        // Load is rebalanced only after a delay without changes, within which a restarted upstream may have returned.
+        servicePlan.membersChangedAt = servicePlan.rebalanceAtOnce ? now - this->settings.rebalanceDelay : now;
     }
-    watch.rebalanceAtOnce = false;
+    servicePlan.rebalanceAtOnce = false;
 }
 
 bool Coordinator::proposeSplits(const std::string &service, const SliceMap &map, std::size_t memberCount, BootTime now)
 {
-    Watch &watch = this->watches[service];
-    if (watch.splitting || memberCount == 0) {
-        return watch.splitting;
+    ServicePlan &servicePlan = this->servicePlans[service];
+    if (servicePlan.splitInFlight || memberCount == 0) {
+        return servicePlan.splitInFlight;
     }
-    const double rightful = 1.0 / static_cast<double>(memberCount);
+    const double targetShare = 1.0 / static_cast<double>(memberCount);
     const table::ServicePolicy policy = this->state.tables().table().service(service);
     const SliceSplits splits = planSplits(map,
                                           memberCount * this->settings.slicesPerUpstream,
-                                          this->loads.hotKeys(service, HotKeyPart * rightful, now),
+                                          this->loads.hotKeys(service, MinHotKeyShare * targetShare, now),
                                           this->moveTracker.begins(service),
                                           policy.numberedKeys ? NumberedKeyWidth : 1);
     if (splits.empty()) {
@@ -190,9 +191,9 @@
     for (const std::uint64_t begin : splits.merged) {
         command.mutable_assign()->add_merged(begin);
     }
-    watch.splitting = true;
+    servicePlan.splitInFlight = true;
     Proposal proposal;
-    proposal.splits = service;
+    proposal.splitService = service;
     this->propose(std::move(command), std::move(proposal));
     return true;
 }
@@ -207,7 +208,7 @@
     for (const auto &[begin, holding] : map.slices()) {
         LoadedSlice slice{.begin = begin, .owner = holding.owner, .load = 0, .moving = false};
         if (const Move *const move = this->moveTracker.find({service, begin}); move != nullptr) {
-            // A target that left is replaced; the revocation stands.
+            // A target that is no longer a member is replaced; the revoke stays valid.
             slice.owner = move->to;
             slice.moving = contains(members, move->to) || move->phase == MovePhase::Committing;
         }
@@ -215,7 +216,7 @@
     }
     this->loads.distributeLoad(service, map, slices);
     if (members.empty()) {
-        // Out of service means no new work, also where nobody is left to take the keys.
+        // Out of service means no new work, even when no other upstream can take the keys.
         std::vector<SliceMove> moves;
         for (const LoadedSlice &slice : slices) {
             if (slice.owner != 0 && !slice.moving) {
@@ -224,17 +225,17 @@
         }
         return moves;
     }
-    const Watch &watch = this->watches[service];
-    const bool fresh = std::all_of(slices.begin(), slices.end(), [](const LoadedSlice &slice) {
+    const ServicePlan &servicePlan = this->servicePlans[service];
+    const bool isUnassigned = std::all_of(slices.begin(), slices.end(), [](const LoadedSlice &slice) {
         return slice.owner == 0;
     });
-    if (fresh && now < watch.membersChanged + this->settings.initialAssignmentDelay) {
+    if (isUnassigned && now < servicePlan.membersChangedAt + this->settings.initialAssignmentDelay) {
         return {};
     }
-    const bool settled = now >= watch.membersChanged + this->settings.rebalanceDelay;
-    // Before it has settled only orphans move: any imbalance is tolerated.
+    const bool isSettled = now >= servicePlan.membersChangedAt + this->settings.rebalanceDelay;
+    // Until the members have settled only orphans move, so any imbalance is tolerated.
     constexpr double AnyImbalance = 1e9;
-    return assign(members, slices, settled ? this->settings.tolerance : AnyImbalance);
+    return assign(members, slices, isSettled ? this->settings.tolerance : AnyImbalance);
 }
 
 std::uint32_t Coordinator::successorOf(std::uint32_t ended, BootTime now) const
@@ -246,8 +247,8 @@
     }
     for (const auto &[name, announced] : agent->announced) {
         const wire::UpstreamInfo *const later = this->state.upstreams().find(name.first, name.second);
-        const bool fits = later != nullptr && later->service() == before->service() && later->agent() == agent->name;
-        if (fits && replacesUpstream(*later, *before) && this->weightOf(*later, now) > 0) {
+        const bool matches = later != nullptr && later->service() == before->service() && later->agent() == agent->name;
+        if (matches && replacesUpstream(*later, *before) && this->weightOf(*later, now) > 0) {
             return later->id();
         }
     }
@@ -255,13 +256,13 @@
 }
 
 /**
- * Guards against keys that nobody serves for seconds after a loss of power. It shows when agents and upstreams come
- * back together: each agent is asked to release the slices of an upstream that has ended, and may not say that they are
- * free before all that the agent before it can have granted has run out. The process that took the address is the only
- * one that those grants can have reached, and the agent is its only gate: it gets the slices under the next epoch at
- * once.
+ * Reassigns slices to successors without waiting for Released, so that keys aren't unserved for seconds after a loss of
+ * power. When agents and upstreams restart together, each agent is asked to release the slices of an upstream that has
+ * ended, but must not confirm before all grants that its predecessor can have given have expired. Those grants can have
+ * reached only the process that took the address, and the agent is that process's only gate. Therefore it gets the
+ * slices under the next epoch at once.
  */
-void Coordinator::passToSuccessors(const std::string &service, const SliceMap &map, BootTime now)
+void Coordinator::reassignToSuccessors(const std::string &service, const SliceMap &map, BootTime now)
 {
     std::map<std::uint32_t, std::uint32_t> successors;
     for (const auto &[begin, holding] : map.slices()) {
@@ -273,8 +274,8 @@
             continue;
         }
         const SliceName name(service, begin);
-        const Move *const begun = this->moveTracker.find(name);
-        if (begun != nullptr && begun->phase != MovePhase::Revoking) {
+        const Move *const existing = this->moveTracker.find(name);
+        if (existing != nullptr && existing->phase != MovePhase::Revoking) {
             continue;
         }
         this->moveTracker.moves[name] = {.epoch = holding.epoch,
@@ -289,26 +290,28 @@
 
 void Coordinator::planService(const std::string &service, const SliceMap &map, BootTime now)
 {
-    Watch &watch = this->watches[service];
-    if (!watch.dirty && now < watch.nextCheckAt) {
+    ServicePlan &servicePlan = this->servicePlans[service];
+    if (!servicePlan.dirty && now < servicePlan.nextCheckAt) {
         return;
     }
     const std::vector<Member> members = this->membersOf(service, now);
-    this->recordMembers(watch, members, now);
-    watch.dirty = false;
-    watch.nextCheckAt = now + this->settings.rebalanceInterval;
+    this->recordMembers(servicePlan, members, now);
+    servicePlan.dirty = false;
+    servicePlan.nextCheckAt = now + this->settings.rebalanceInterval;
     if (this->proposeSplits(service, map, members.size(), now)) {
-        // The slices change under the plan; it's made again once they have.
+        // The slices are about to change; the moves are planned once they have.
         return;
     }
-    this->passToSuccessors(service, map, now);
+    this->reassignToSuccessors(service, map, now);
     const std::vector<SliceMove> wanted = this->wantedMoves(service, map, members, now);
     if (wanted.empty()) {
-        // Nothing to do until it has settled or, later, the loads have drifted; any other change makes it dirty.
-        const BootTime settled = watch.membersChanged + this->settings.rebalanceDelay;
-        const BootTime gathered = watch.membersChanged + this->settings.initialAssignmentDelay;
-        const BootTime idle = now + this->settings.idleCheckInterval;
-        watch.nextCheckAt = now < gathered ? gathered : now < settled ? settled : idle;
+        // Nothing to do until the members have settled or, later, loads have drifted. Any other change sets dirty.
+        const BootTime settledAt = servicePlan.membersChangedAt + this->settings.rebalanceDelay;
+        const BootTime initialAssignmentAt = servicePlan.membersChangedAt + this->settings.initialAssignmentDelay;
+        const BootTime idleCheckAt = now + this->settings.idleCheckInterval;
+        servicePlan.nextCheckAt = now < initialAssignmentAt ? initialAssignmentAt
+                                  : now < settledAt         ? settledAt
+                                                            : idleCheckAt;
     }
     this->beginMoves(service, map, wanted, members, now);
 }
@@ -319,20 +322,20 @@
                              const std::vector<Member> &members,
                              BootTime now)
 {
-    std::unordered_map<std::uint32_t, std::size_t> busy = this->moveTracker.countByUpstream();
+    std::unordered_map<std::uint32_t, std::size_t> movesByUpstream = this->moveTracker.countByUpstream();
     std::vector<SliceName> revoked;
-    for (const SliceMove &want : wanted) {
-        const SliceName name(service, want.begin);
-        const SliceHolding holding = map.slices().at(want.begin);
-        if (Move *const begun = this->moveTracker.find(name); begun != nullptr) {
-            begun->to = want.to;
+    for (const SliceMove &wantedMove : wanted) {
+        const SliceName name(service, wantedMove.begin);
+        const SliceHolding holding = map.slices().at(wantedMove.begin);
+        if (Move *const existing = this->moveTracker.find(name); existing != nullptr) {
+            existing->to = wantedMove.to;
             continue;
         }
         if (this->isSafeToReassign(holding.owner, now)) {
             Move &move = this->moveTracker.moves[name];
             move = {.epoch = holding.epoch,
                     .from = holding.owner,
-                    .to = want.to,
+                    .to = wantedMove.to,
                     .previousAgent = {},
                     .notBefore = {},
                     .handover = {}};
@@ -344,23 +347,24 @@
             continue;
         }
         if (contains(members, holding.owner)) {
-            // Both stay: nothing presses, and a cold upstream should get its load step by step.
-            if (std::max(busy[holding.owner], busy[want.to]) >= this->settings.movesPerUpstream) {
+            // Both upstreams stay in service, so the move isn't urgent and a cold upstream gets its load gradually.
+            if (std::max(movesByUpstream[holding.owner], movesByUpstream[wantedMove.to])
+                >= this->settings.movesPerUpstream) {
                 continue;
             }
         }
-        ++busy[holding.owner];
-        ++busy[want.to];
+        ++movesByUpstream[holding.owner];
+        ++movesByUpstream[wantedMove.to];
         this->moveTracker.moves[name] = {.epoch = holding.epoch,
                                          .from = holding.owner,
-                                         .to = want.to,
+                                         .to = wantedMove.to,
                                          .previousAgent = {},
                                          .notBefore = {},
                                          .handover = {}};
         revoked.push_back(name);
     }
     this->sendRevokes(revoked);
-    this->commitReleased(now);
+    this->proposeReleased(now);
 }
 
 void Coordinator::forceMovesOfLost(BootTime now)
@@ -378,8 +382,8 @@
     if (move.from == 0) {
         return;
     }
-    // An agent that was frozen may return between this decision and its commit. Renewed before it hears of the commit,
-    // it would serve beside the new owner.
+    // An agent that was frozen may resume between this decision and its commit. If its lease were renewed before it
+    // receives the commit, it would serve the slice at the same time as the new owner.
     move.previousAgent = this->state.upstreams().find(move.from)->agent();
     ++this->agentRegistry.getOrCreate(move.previousAgent).forcedMovesInFlight;
 }
@@ -393,7 +397,7 @@
     return target != nullptr && this->weightOf(*target, now) > 0;
 }
 
-void Coordinator::commitReleased(BootTime now)
+void Coordinator::proposeReleased(BootTime now)
 {
     std::map<std::string, wire::AssignSlices> changes;
     Proposal proposal;
@@ -402,7 +406,7 @@
             continue;
         }
         if (!this->canReceiveSlices(move.to, now)) {
-            this->watches[slice.first].dirty = true;
+            this->servicePlans[slice.first].dirty = true;
             continue;
         }
         wire::AssignSlices &change = changes[slice.first];
--- a/src/control/CoordinatorSettings.cpp
+++ b/src/control/CoordinatorSettings.cpp
@@ -55,12 +55,12 @@
 Result<CoordinatorSettings> CoordinatorSettingsBuilder::build() const
 {
     Findings findings;
-    // The margin has to cover quartz that is off by 1000 ppm for a whole lease, and never be nothing.
+    // The margin must cover a quartz clock that is off by 1000 ppm for a whole lease, and must not be 0.
     if (this->settings.lease.count() <= 0 || this->settings.drift * 100 < this->settings.lease) {
         findings.push_back({"lease", "is not positive or its drift margin is under 1 %", "a larger margin"});
     }
     if (this->settings.movesPerUpstream == 0) {
-        findings.push_back({"moves per upstream", "is 0: no load would ever be evened out", "1 or more"});
+        findings.push_back({"moves per upstream", "is 0: load could never be rebalanced", "1 or more"});
     }
     if (this->settings.slicesPerUpstream == 0) {
         findings.push_back({"slices per upstream", "is 0", "1 or more"});
--- a/src/control/LoadTracker.cpp
+++ b/src/control/LoadTracker.cpp
@@ -10,19 +10,22 @@
 namespace {
 
 /**
- * Below this many requests a second in all, a slice's rate says little about the next seconds, and moves cost more than
- * they even out.
+ * Requests per second of the whole service below which the rate of a slice doesn't predict the next seconds, and moves
+ * cost more than the balance gains.
  */
-constexpr double LeastMeasuredRate = 40;
-/** Part of a slice's load that goes by its measured rate. Busy keys are neighbours, so widths say little. */
-constexpr double MeasuredPart = 0.8;
-constexpr std::chrono::seconds HotKeyAge{10};
-constexpr std::chrono::minutes WorkTimeAge{1};
-/** A report of so many answers counts as much as all before it: times of single requests vary by their length. */
-constexpr double HalfLifeAnswers = 60;
-/** No upstream gets less or more than this times an equal share, however slow or fast it seems. */
-constexpr double SlowestShare = 0.3;
-constexpr double FastestShare = 3;
+constexpr double MinMeasuredRate = 40;
+/** Part of a slice's load given by its measured rate. Busy keys are adjacent, so the width is a poor estimate. */
+constexpr double MeasuredWeight = 0.8;
+constexpr std::chrono::seconds MaxHotKeyAge{10};
+constexpr std::chrono::minutes MaxWorkTimeAge{1};
+/**
+ * Number of answers at which a report counts as much as all reports before it. Reports of few answers count less,
+ * because work times vary between requests.
+ */
+constexpr double HalfWeightAnswers = 60;
+/** Bounds of an upstream's target load, as multiples of an equal share, whatever speed was measured. */
+constexpr double MinRelativeSpeed = 0.3;
+constexpr double MaxRelativeSpeed = 3;
 
 } // namespace
 
@@ -30,7 +33,7 @@
 {
     for (const wire::SliceLoad &load : renew.loads()) {
         double &rate = this->services[load.service()].rates[load.begin()];
-        rate += Weight * (load.rate() - rate);
+        rate += SmoothingFactor * (load.rate() - rate);
     }
     for (const wire::UpstreamWork &work : renew.work()) {
         if (!(work.mean_seconds() > 0)) {
@@ -40,8 +43,8 @@
         const auto [known, added] =
             this->services[work.service()].workTimes.try_emplace(work.upstream(), WorkTime{work.mean_seconds(), now});
         WorkTime &time = known->second;
-        time.seconds += answers / (answers + HalfLifeAnswers) * (work.mean_seconds() - time.seconds);
-        time.reported = now;
+        time.seconds += answers / (answers + HalfWeightAnswers) * (work.mean_seconds() - time.seconds);
+        time.reportedAt = now;
     }
     for (const wire::HotKey &key : renew.hot_keys()) {
         Service &service = this->services[key.service()];
@@ -63,7 +66,7 @@
         return relativeSpeeds;
     }
     std::erase_if(found->second.workTimes, [&](const auto &entry) {
-        return entry.second.reported + WorkTimeAge < now;
+        return entry.second.reportedAt + MaxWorkTimeAge < now;
     });
     double total = 0;
     for (const auto &[upstream, time] : found->second.workTimes) {
@@ -71,7 +74,7 @@
     }
     const double mean = total / static_cast<double>(found->second.workTimes.size());
     for (const auto &[upstream, time] : found->second.workTimes) {
-        relativeSpeeds[upstream] = std::clamp(1 / time.seconds / mean, SlowestShare, FastestShare);
+        relativeSpeeds[upstream] = std::clamp(1 / time.seconds / mean, MinRelativeSpeed, MaxRelativeSpeed);
     }
     return relativeSpeeds;
 }
@@ -88,7 +91,7 @@
         rates[number] = rate == found->second.rates.end() ? 0 : rate->second;
         total += rates[number];
     }
-    const double measured = total < LeastMeasuredRate ? 0 : MeasuredPart;
+    const double measured = total < MinMeasuredRate ? 0 : MeasuredWeight;
     for (std::size_t number = 0; number < slices.size(); ++number) {
         const double width = map.width(map.at(slices[number].begin));
         const double rate = measured > 0 ? rates[number] / total : 0;
@@ -104,11 +107,11 @@
         return hot;
     }
     const double total = this->totalRate(found->second);
-    if (total < LeastMeasuredRate) {
+    if (total < MinMeasuredRate) {
         return hot;
     }
     for (const auto &[hash, key] : found->second.hotKeys) {
-        if (key.reported + HotKeyAge > now && key.rate >= share * total) {
+        if (key.reportedAt + MaxHotKeyAge > now && key.rate >= share * total) {
             hot.push_back(hash);
         }
     }
--- a/src/control/SliceMap.cpp
+++ b/src/control/SliceMap.cpp
@@ -9,17 +9,18 @@
 
 namespace {
 
-constexpr double HashSpace = 18446744073709551616.0;
+constexpr double HashSpaceSize = 18446744073709551616.0;
 
 } // namespace
 
-SliceMap SliceMap::uniform(std::size_t count, std::uint64_t grain)
+SliceMap SliceMap::uniform(std::size_t count, std::uint64_t alignment)
 {
-    assert(count > 0 && grain > 0);
+    assert(count > 0 && alignment > 0);
     SliceMap map;
-    // The space's size itself, 2^64, doesn't fit: one grain is missing from the quotient, which matters for wide ones.
-    const std::uint64_t grains = std::numeric_limits<std::uint64_t>::max() / grain + (grain > 1 ? 1 : 0);
-    const std::uint64_t width = grains / count * grain;
+    // The size of the hash space, 2^64, doesn't fit the type. The quotient of the largest hash lacks one unit, which
+    // matters for a wide alignment.
+    const std::uint64_t alignedUnits = std::numeric_limits<std::uint64_t>::max() / alignment + (alignment > 1 ? 1 : 0);
+    const std::uint64_t width = alignedUnits / count * alignment;
     for (std::size_t number = 0; number < count; ++number) {
         map.entries.emplace(width * number, SliceHolding{});
     }
@@ -40,16 +41,16 @@
 double SliceMap::width(Slices::const_iterator slice) const
 {
     const auto next = std::next(slice);
-    const double end = next == this->entries.end() ? HashSpace : static_cast<double>(next->first);
-    return (end - static_cast<double>(slice->first)) / HashSpace;
+    const double end = next == this->entries.end() ? HashSpaceSize : static_cast<double>(next->first);
+    return (end - static_cast<double>(slice->first)) / HashSpaceSize;
 }
 
 bool SliceMap::put(const wire::SliceOwner &change)
 {
     const auto found = this->at(change.begin());
-    const SliceHolding present = found->second;
-    const bool split = change.owner() == present.owner && change.epoch() == present.epoch;
-    const bool successor = found->first == change.begin() && change.epoch() == present.epoch + 1;
+    const SliceHolding current = found->second;
+    const bool split = change.owner() == current.owner && change.epoch() == current.epoch;
+    const bool successor = found->first == change.begin() && change.epoch() == current.epoch + 1;
     if (!split && !successor) {
         return false;
     }
