--- a/src/control/CoordinatorSettings.cpp
+++ b/src/control/CoordinatorSettings.cpp
@@ -60,7 +60,7 @@
         findings.push_back({"lease", "is not positive or its drift margin is under 1 %", "a larger margin"});
     }
     if (this->settings.movesPerUpstream == 0) {
-        findings.push_back({"moves per upstream", "is 0: load could never be rebalanced", "1 or more"});
+        findings.push_back({"moves per upstream", "is 0, so no load can be rebalanced", "1 or more"});
     }
     if (this->settings.slicesPerUpstream == 0) {
         findings.push_back({"slices per upstream", "is 0", "1 or more"});
--- a/tests/AssignmentTest.cpp
+++ b/tests/AssignmentTest.cpp
@@ -18,7 +18,7 @@
     return all;
 }
 
-std::vector<LoadedSlice> even(std::size_t count)
+std::vector<LoadedSlice> uniformSlices(std::size_t count)
 {
     std::vector<LoadedSlice> all;
     for (std::size_t number = 0; number < count; ++number) {
@@ -27,7 +27,7 @@
     return all;
 }
 
-double carryOut(std::vector<LoadedSlice> &slices, const std::vector<SliceMove> &moves)
+double applyMoves(std::vector<LoadedSlice> &slices, const std::vector<SliceMove> &moves)
 {
     std::map<std::uint64_t, LoadedSlice *> byBegin;
     for (LoadedSlice &slice : slices) {
@@ -45,23 +45,23 @@
 
 } // namespace
 
-TEST_CASE("slices without an owner are spread by weight, and a second look moves nothing")
+TEST_CASE("slices without an owner are spread by weight, and a second assignment moves nothing")
 {
-    std::vector<LoadedSlice> slices = even(128);
+    std::vector<LoadedSlice> slices = uniformSlices(128);
     std::vector<Member> all = members(4);
     all[0].weight = 5;
-    carryOut(slices, assign(all, slices));
+    applyMoves(slices, assign(all, slices));
     REQUIRE(imbalance(all, slices) < 1.05);
     REQUIRE(assign(all, slices).empty());
 }
 
-// A member joins or leaves; hash modulo members would move nearly every key, and each move is time in which a key is
-// not served. Only the load that the tolerance demands may move.
-TEST_CASE("a member lost, joined or reweighted moves little more than the least possible")
+// A key is not served while its slice moves. Assignment by hash modulo the member count would move nearly every key
+// when a member joins or leaves; only the load that the tolerance requires may move.
+TEST_CASE("a member lost, joined or reweighted moves little more than the minimum load")
 {
-    std::vector<LoadedSlice> slices = even(std::size_t{12} * 32);
+    std::vector<LoadedSlice> slices = uniformSlices(std::size_t{12} * 32);
     std::vector<Member> all = members(12);
-    carryOut(slices, assign(all, slices));
+    applyMoves(slices, assign(all, slices));
     SECTION("lost")
     {
         all.erase(all.begin() + 3);
@@ -74,16 +74,16 @@
     {
         all[2].weight = 0.5;
     }
-    const double least = minChurn(all, slices);
-    const double moved = carryOut(slices, assign(all, slices));
-    REQUIRE(least > 0);
-    REQUIRE(moved <= least * 1.1);
+    const double minimum = minChurn(all, slices);
+    const double moved = applyMoves(slices, assign(all, slices));
+    REQUIRE(minimum > 0);
+    REQUIRE(moved <= minimum * 1.1);
     REQUIRE(imbalance(all, slices) < 1.1);
 }
 
-TEST_CASE("a slice on the move stays where it is")
+TEST_CASE("a slice that is being moved is not moved again")
 {
-    std::vector<LoadedSlice> slices = even(8);
+    std::vector<LoadedSlice> slices = uniformSlices(8);
     for (LoadedSlice &slice : slices) {
         slice.owner = 1;
         slice.moving = true;
@@ -101,18 +101,18 @@
         for (Member &member : all) {
             member.weight = 0.5 + random(6);
         }
-        std::vector<LoadedSlice> slices = even(1 + random(60));
+        std::vector<LoadedSlice> slices = uniformSlices(1 + random(60));
         for (LoadedSlice &slice : slices) {
             slice.owner = random(14);
             slice.load = random(100);
         }
-        carryOut(slices, assign(all, slices));
+        applyMoves(slices, assign(all, slices));
         for (const LoadedSlice &slice : slices) {
             REQUIRE(slice.owner >= 1);
             REQUIRE(slice.owner <= memberCount);
         }
         const double before = imbalance(all, slices);
-        carryOut(slices, assign(all, slices));
+        applyMoves(slices, assign(all, slices));
         REQUIRE(imbalance(all, slices) <= before + 1e-9);
     }
 }
--- a/tests/ControlPump.cpp
+++ b/tests/ControlSimulation.cpp
@@ -1,4 +1,4 @@
-#include "ControlPump.h"
+#include "ControlSimulation.h"
 
 #include <algorithm>
 
@@ -20,7 +20,7 @@
 
 } // namespace
 
-ControlPump::ControlPump(std::uint64_t seed, std::size_t agentCount, std::optional<bool> checks)
+ControlSimulation::ControlSimulation(std::uint64_t seed, std::size_t agentCount, std::optional<bool> checks)
     : agents(agentCount)
     , random(seed)
 {
@@ -34,7 +34,7 @@
     for (std::size_t number = 0; number < SampledKeys; ++number) {
         this->hashes.push_back((std::uint64_t{this->random()} << 32) + this->random());
     }
-    this->lastServed.assign(SampledKeys, this->now);
+    this->lastServedAt.assign(SampledKeys, this->now);
     for (std::size_t number = 0; number < agentCount; ++number) {
         FakeAgent &agent = this->agents[number];
         agent.setUp(number, checks.value_or(number % 2 == 0));
@@ -42,11 +42,11 @@
     }
 }
 
-void ControlPump::run(std::chrono::milliseconds time, Fault fault, std::uint64_t atEvent)
+void ControlSimulation::run(std::chrono::milliseconds time, Fault fault, std::uint64_t atEvent)
 {
-    this->planned = fault;
-    this->plannedAt = this->events + atEvent;
-    for (const BootTime end = this->now + time; this->now < end && this->broken.empty(); this->now += Step) {
+    this->plannedFault = fault;
+    this->plannedEvent = this->events + atEvent;
+    for (const BootTime end = this->now + time; this->now < end && this->violation.empty(); this->now += Step) {
         this->deliver();
         this->endPending();
         for (std::size_t leader = this->leaders.size() > 1 ? this->leaders.size() - 2 : 0;
@@ -62,14 +62,14 @@
     }
 }
 
-void ControlPump::event()
+void ControlSimulation::recordEvent()
 {
-    if (this->events++ == this->plannedAt && this->planned != Fault::None) {
-        this->inject(std::exchange(this->planned, Fault::None));
+    if (this->events++ == this->plannedEvent && this->plannedFault != Fault::None) {
+        this->inject(std::exchange(this->plannedFault, Fault::None));
     }
 }
 
-void ControlPump::inject(Fault fault, std::optional<std::size_t> chosen)
+void ControlSimulation::inject(Fault fault, std::optional<std::size_t> chosen)
 {
     FakeAgent &agent = this->agents[chosen.value_or(this->random(static_cast<std::uint32_t>(this->agents.size())))];
     switch (fault) {
@@ -84,11 +84,11 @@
     case Fault::FreezeAgent:
         agent.frozenUntil = this->now + std::chrono::milliseconds(100 + this->random(1200));
         break;
-    case Fault::CutAgent:
+    case Fault::PartitionAgent:
         agent.reachable = false;
         break;
     case Fault::CrashUpstream:
-        std::erase_if(this->works, [&](const FakeWork &work) {
+        std::erase_if(this->workInProgress, [&](const FakeWork &work) {
             return &this->agents[work.agent] == &agent;
         });
         agent.ownership.work.clear();
@@ -112,7 +112,7 @@
     }
 }
 
-void ControlPump::heal()
+void ControlSimulation::heal()
 {
     this->extraDelay = {};
     for (FakeAgent &agent : this->agents) {
@@ -128,20 +128,20 @@
     }
 }
 
-void ControlPump::announce(FakeAgent &agent)
+void ControlSimulation::announce(FakeAgent &agent)
 {
     this->sendUp(agent, agent.announcement());
 }
 
-void ControlPump::propose(const wire::Command &command)
+void ControlSimulation::propose(const wire::Command &command)
 {
-    const BootTime due = this->now + this->delay();
-    this->pending.push_back({due, due, this->leaders.size() - 1, 0, command});
+    const BootTime dueAt = this->now + this->delay();
+    this->pending.push_back({dueAt, dueAt, this->leaders.size() - 1, 0, command});
 }
 
-void ControlPump::changeLeader()
+void ControlSimulation::changeLeader()
 {
-    // What the old leader proposed may or may not have reached the quorum that elects the next one.
+    // Proposals of the old leader may or may not have reached the quorum that elects the next one.
     for (const Pending &item : std::exchange(this->pending, {})) {
         if (item.command && this->random(2) == 0) {
             this->commit(item.leader, 0, *item.command);
@@ -153,12 +153,12 @@
     for (const auto &[version, command] : this->log) {
         next->state.apply(version, command);
     }
-    this->leaders.back()->deposed = this->now;
+    this->leaders.back()->deposedAt = this->now;
     next->coordinator.lead(this->now);
     this->leaders.push_back(std::move(next));
 }
 
-void ControlPump::commit(std::size_t leader, std::uint64_t proposal, const wire::Command &command)
+void ControlSimulation::commit(std::size_t leader, std::uint64_t proposal, const wire::Command &command)
 {
     wire::Version version;
     version.set_term(this->leaders[leader]->term);
@@ -170,15 +170,15 @@
         own.coordinator.proposed(proposal, control::ProposalOutcome::Applied);
     }
     this->takeActions(leader);
-    this->event();
+    this->recordEvent();
 }
 
-void ControlPump::endPending()
+void ControlSimulation::endPending()
 {
-    // A round or a proposal succeeds when the leader still led at the moment its quorum acknowledged.
+    // A round or a proposal succeeds if the leader was still leading when its quorum acknowledged.
     for (std::size_t number = 0; number < this->pending.size();) {
         const Pending item = this->pending[number];
-        if (item.due > this->now) {
+        if (item.dueAt > this->now) {
             ++number;
             continue;
         }
@@ -187,25 +187,25 @@
             this->commit(item.leader, item.proposal, *item.command);
         } else {
             Leader &leader = *this->leaders[item.leader];
-            leader.coordinator.confirmed(!leader.deposed || item.acknowledged < *leader.deposed, this->now);
+            leader.coordinator.confirmed(!leader.deposedAt || item.acknowledgedAt < *leader.deposedAt, this->now);
             this->takeActions(item.leader);
-            this->event();
+            this->recordEvent();
         }
     }
 }
 
-void ControlPump::takeActions(std::size_t leader)
+void ControlSimulation::takeActions(std::size_t leader)
 {
     const bool leads = leader + 1 == this->leaders.size();
     for (control::Action &action : this->leaders[leader]->coordinator.takeActions()) {
         if (auto *const proposal = std::get_if<control::ProposeAction>(&action)) {
             if (leads) {
-                const BootTime due = this->now + this->delay();
-                this->pending.push_back({due, due, leader, proposal->proposal, std::move(proposal->command)});
+                const BootTime dueAt = this->now + this->delay();
+                this->pending.push_back({dueAt, dueAt, leader, proposal->proposal, std::move(proposal->command)});
             }
         } else if (std::holds_alternative<control::ConfirmAction>(action)) {
-            const BootTime acknowledged = this->now + this->delay();
-            this->pending.push_back({acknowledged + this->delay(), acknowledged, leader, 0, {}});
+            const BootTime acknowledgedAt = this->now + this->delay();
+            this->pending.push_back({acknowledgedAt + this->delay(), acknowledgedAt, leader, 0, {}});
         } else if (auto *const send = std::get_if<control::SendAction>(&action)) {
             this->post({{}, leader, send->session, 0, {}, send->message, false});
         } else {
@@ -214,27 +214,27 @@
     }
 }
 
-std::chrono::milliseconds ControlPump::delay()
+std::chrono::milliseconds ControlSimulation::delay()
 {
     return std::chrono::milliseconds(1 + this->random(this->random(20) == 0 ? 120 : 12));
 }
 
-void ControlPump::post(Message message)
+void ControlSimulation::post(Message message)
 {
-    // A session is a stream: what was sent first arrives first.
-    BootTime &last = this->lastDue[{message.session, message.up.has_value()}];
+    // A session is a stream: messages arrive in the order in which they were sent.
+    BootTime &last = this->lastDueAt[{message.session, message.toLeader.has_value()}];
     last = std::max(last, this->now + this->delay() + this->extraDelay);
-    message.due = last;
+    message.dueAt = last;
     this->network.push_back(std::move(message));
 }
 
-void ControlPump::deliver()
+void ControlSimulation::deliver()
 {
     std::deque<Message> waiting = std::exchange(this->network, {});
     for (Message &message : waiting) {
-        if (message.due > this->now) {
+        if (message.dueAt > this->now) {
             this->network.push_back(std::move(message));
-        } else if (message.up) {
+        } else if (message.toLeader) {
             this->deliverUp(message);
         } else {
             this->deliverDown(message);
@@ -242,23 +242,23 @@
     }
 }
 
-void ControlPump::deliverUp(const Message &message)
+void ControlSimulation::deliverUp(const Message &message)
 {
     if (!this->agents[message.agent].reachable) {
         this->network.push_back(message);
         return;
     }
     control::Coordinator &coordinator = this->leaders[message.leader]->coordinator;
-    if (message.up->has_hello()) {
-        coordinator.opened(message.session, message.up->hello(), this->now);
+    if (message.toLeader->has_hello()) {
+        coordinator.opened(message.session, message.toLeader->hello(), this->now);
     } else {
-        coordinator.received(message.session, *message.up, this->now);
+        coordinator.received(message.session, *message.toLeader, this->now);
     }
     this->takeActions(message.leader);
-    this->event();
+    this->recordEvent();
 }
 
-void ControlPump::deliverDown(const Message &message)
+void ControlSimulation::deliverDown(const Message &message)
 {
     const auto found = std::find_if(this->agents.begin(), this->agents.end(), [&](const FakeAgent &agent) {
         return agent.session == message.session;
@@ -267,7 +267,7 @@
         return;
     }
     FakeAgent &agent = *found;
-    // A stream loses nothing while it lasts.
+    // A stream loses no messages while it is open.
     if (agent.isFrozen(this->now) || !agent.reachable) {
         this->network.push_back(message);
         return;
@@ -276,13 +276,13 @@
         agent.disconnect();
         return;
     }
-    for (wire::AgentMessage &answer : agent.receive(*message.down, this->now)) {
+    for (wire::AgentMessage &answer : agent.receive(*message.toAgent, this->now)) {
         this->sendUp(agent, std::move(answer));
     }
-    this->event();
+    this->recordEvent();
 }
 
-void ControlPump::sendUp(FakeAgent &agent, wire::AgentMessage message)
+void ControlSimulation::sendUp(FakeAgent &agent, wire::AgentMessage message)
 {
     if (agent.session != 0 && agent.running) {
         const auto number = static_cast<std::size_t>(&agent - this->agents.data());
@@ -290,7 +290,7 @@
     }
 }
 
-void ControlPump::stepAgent(std::size_t number)
+void ControlSimulation::stepAgent(std::size_t number)
 {
     FakeAgent &agent = this->agents[number];
     if (!agent.running || agent.isFrozen(this->now)) {
@@ -302,7 +302,7 @@
         agent.nextConnect = this->now + this->delay();
     }
     if (agent.session == 0 && this->now >= agent.nextConnect) {
-        // Now and then it reaches a leader that was deposed and doesn't know.
+        // Sometimes the agent reaches a deposed leader that doesn't know of its successor yet.
         const bool stale = this->leaders.size() > 1 && this->random(4) == 0;
         wire::AgentMessage hello =
             agent.connect(++this->lastSession, this->leaders.size() - (stale ? 2 : 1), this->now);
@@ -314,10 +314,10 @@
     }
 }
 
-void ControlPump::work(std::size_t number)
+void ControlSimulation::work(std::size_t number)
 {
     FakeAgent &agent = this->agents[number];
-    std::erase_if(this->works, [&](const FakeWork &work) {
+    std::erase_if(this->workInProgress, [&](const FakeWork &work) {
         const bool ended = work.agent == number && work.endsAt <= this->now;
         if (ended && work.agentStart == agent.starts && agent.upstreamUp) {
             agent::endWork(agent.ownership, FakeAgent::Service, work.hash);
@@ -328,27 +328,27 @@
     if (!agent.upstreamUp || !agent.owns(hash, this->now)) {
         return;
     }
-    for (const FakeWork &other : this->works) {
+    for (const FakeWork &other : this->workInProgress) {
         const FakeAgent &owner = this->agents[other.agent];
         if (other.agent != number && other.hash == hash && other.endsAt > this->now
             && !owner.upstream.checks_grants()) {
-            this->broken = owner.name + " still runs work on a key that " + agent.name + " begins to serve";
+            this->violation = owner.name + " still runs work on a key that " + agent.name + " begins to serve";
         }
     }
     agent::beginWork(agent.ownership, FakeAgent::Service, hash);
     const auto time = std::chrono::milliseconds(5 + this->random(this->random(10) == 0 ? 290 : 20));
-    this->works.push_back({number, agent.starts, hash, this->now + time});
+    this->workInProgress.push_back({number, agent.starts, hash, this->now + time});
 }
 
-bool ControlPump::allServed() const
+bool ControlSimulation::allServed() const
 {
     // A key on a planned move waits for the work in progress on it.
-    return std::all_of(this->lastServed.begin(), this->lastServed.end(), [this](BootTime served) {
+    return std::all_of(this->lastServedAt.begin(), this->lastServedAt.end(), [this](BootTime served) {
         return served + Timeout + std::chrono::milliseconds(500) > this->now;
     });
 }
 
-std::size_t ControlPump::served(std::size_t number) const
+std::size_t ControlSimulation::served(std::size_t number) const
 {
     const FakeAgent &agent = this->agents[number];
     return static_cast<std::size_t>(std::count_if(this->hashes.begin(), this->hashes.end(), [&](std::uint64_t hash) {
@@ -356,7 +356,7 @@
     }));
 }
 
-std::size_t ControlPump::slices(std::size_t number) const
+std::size_t ControlSimulation::slices(std::size_t number) const
 {
     const wire::UpstreamInfo &own = this->agents[number].upstream;
     const wire::UpstreamInfo *const upstream = this->state().upstreams().find(own.service(), own.name());
@@ -366,7 +366,7 @@
     }));
 }
 
-void ControlPump::check()
+void ControlSimulation::check()
 {
     for (std::size_t key = 0; key < SampledKeys; ++key) {
         const FakeAgent *owner = nullptr;
@@ -375,14 +375,15 @@
                 continue;
             }
             if (owner != nullptr) {
-                this->broken = owner->name + " and " + agent.name + " both own key " + std::to_string(key);
+                this->violation = owner->name + " and " + agent.name + " both own key " + std::to_string(key);
             }
             owner = &agent;
         }
         if (owner != nullptr && owner->upstreamUp && !owner->isFrozen(this->now)) {
-            this->lastServed[key] = this->now;
+            this->lastServedAt[key] = this->now;
         }
-        this->longestGap = std::max<std::chrono::nanoseconds>(this->longestGap, this->now - this->lastServed[key]);
+        this->maxServiceGap =
+            std::max<std::chrono::nanoseconds>(this->maxServiceGap, this->now - this->lastServedAt[key]);
     }
 }
 
--- a/tests/ControlPump.h
+++ b/tests/ControlSimulation.h
@@ -12,13 +12,13 @@
 
 namespace bergamotweir::test {
 
-/** What a run may do beside time passing. */
+/** A fault or change that a run can inject. */
 enum class Fault {
     None,
     KillAgent,
     RestartAgent,
     FreezeAgent,
-    CutAgent,
+    PartitionAgent,
     CrashUpstream,
     DrainUpstream,
     MarkOut,
@@ -27,7 +27,7 @@
     DelayNetwork
 };
 
-/** Work that an upstream runs on a key. */
+/** Work that an upstream is running on a key. */
 struct FakeWork {
     std::size_t agent = 0;
     unsigned agentStart = 0;
@@ -36,30 +36,30 @@
 };
 
 /**
- * Drives leaders and agents through fake time, network and log. One seed decides everything.
- * After each step it checks that no key has two owners or is worked on by two upstreams.
+ * Simulates leaders and agents with a fake clock, network and log. The seed determines the whole run.
+ * Checks after each step that no key has two owners or is worked on by two upstreams.
  */
-class ControlPump
+class ControlSimulation
 {
 public:
     static constexpr std::chrono::milliseconds Step{5};
     static constexpr std::chrono::milliseconds Timeout{300};
 
-    /** @param agentCount agents; every second one's upstream checks grants unless @p checks says for all */
-    ControlPump(std::uint64_t seed, std::size_t agentCount, std::optional<bool> checks = {});
+    /** @param agentCount number of agents @param checks whether upstreams check grants; by default every second does */
+    ControlSimulation(std::uint64_t seed, std::size_t agentCount, std::optional<bool> checks = {});
 
-    /** Lets time pass, with @p fault at the moment the @p atEvent -th event from now happens. */
+    /** Advances time, and injects @p fault at the @p atEvent -th event from now. */
     void run(std::chrono::milliseconds time, Fault fault = Fault::None, std::uint64_t atEvent = 0);
-    /** Does a fault now, to an agent of the seed's choice unless one is named. */
+    /** Injects a fault now, into an agent that the seed chooses unless one is given. */
     void inject(Fault fault, std::optional<std::size_t> agent = {});
     /** Ends every lasting fault. */
     void heal();
 
-    /** @return true when each key has been served lately */
+    /** @return true when each key has been served recently */
     bool allServed() const;
-    /** @return how many keys an agent serves */
+    /** @return the number of sampled keys that an agent serves */
     std::size_t served(std::size_t agent) const;
-    /** @return how many slices the log gives to an agent's upstream */
+    /** @return the number of slices that an agent's upstream owns in the replicated state */
     std::size_t slices(std::size_t agent) const;
     const control::State &state() const
     {
@@ -71,10 +71,10 @@
     }
     void propose(const wire::Command &command);
 
-    /** The first broken invariant, empty while all hold. */
-    std::string broken;
-    /** Longest time in which a key was not served, since it was last cleared. */
-    std::chrono::nanoseconds longestGap{0};
+    /** The violated invariant; empty while all hold. */
+    std::string violation;
+    /** Longest time in which a key was not served, since this value was last reset. */
+    std::chrono::nanoseconds maxServiceGap{0};
     std::uint64_t events = 0;
     BootTime now{std::chrono::seconds(1000)};
     std::vector<FakeAgent> agents;
@@ -87,22 +87,22 @@
         }
         std::uint64_t term;
         /** When a quorum elected the next one. */
-        std::optional<BootTime> deposed;
+        std::optional<BootTime> deposedAt;
         control::State state;
         control::Coordinator coordinator{control::CoordinatorSettings{}, this->state};
     };
     struct Message {
-        BootTime due;
+        BootTime dueAt;
         std::size_t leader = 0;
         std::uint64_t session = 0;
         std::size_t agent = 0;
-        std::optional<wire::AgentMessage> up;
-        std::shared_ptr<const wire::ControlMessage> down;
+        std::optional<wire::AgentMessage> toLeader;
+        std::shared_ptr<const wire::ControlMessage> toAgent;
         bool closes = false;
     };
     struct Pending {
-        BootTime due;
-        BootTime acknowledged;
+        BootTime dueAt;
+        BootTime acknowledgedAt;
         std::size_t leader = 0;
         std::uint64_t proposal = 0;
         std::optional<wire::Command> command;
@@ -110,7 +110,7 @@
 
     std::chrono::milliseconds delay();
     void post(Message message);
-    void event();
+    void recordEvent();
     void takeActions(std::size_t leader);
     void commit(std::size_t leader, std::uint64_t proposal, const wire::Command &command);
     void endPending();
@@ -128,16 +128,16 @@
     std::vector<std::unique_ptr<Leader>> leaders;
     std::vector<std::pair<wire::Version, wire::Command>> log;
     std::deque<Message> network;
-    std::map<std::pair<std::uint64_t, bool>, BootTime> lastDue;
+    std::map<std::pair<std::uint64_t, bool>, BootTime> lastDueAt;
     std::vector<Pending> pending;
-    std::vector<FakeWork> works;
+    std::vector<FakeWork> workInProgress;
     std::vector<std::uint64_t> hashes;
-    std::vector<BootTime> lastServed;
+    std::vector<BootTime> lastServedAt;
     std::uint64_t lastSession = 0;
     std::uint64_t lastChange = 0;
     std::chrono::milliseconds extraDelay{0};
-    Fault planned = Fault::None;
-    std::uint64_t plannedAt = 0;
+    Fault plannedFault = Fault::None;
+    std::uint64_t plannedEvent = 0;
 };
 
 } // namespace bergamotweir::test
--- a/tests/CoordinatorGuardTest.cpp
+++ b/tests/CoordinatorGuardTest.cpp
@@ -14,8 +14,8 @@
 constexpr std::chrono::milliseconds Drift{25};
 constexpr std::chrono::milliseconds Timeout{300};
 
-/** A leader whose rounds and proposals end exactly when a test says so; agent a on session 1, b on session 2. */
-struct Led {
+/** A leader whose rounds and proposals end when the test decides; agent a uses session 1, agent b session 2. */
+struct LeaderFixture {
     control::State state;
     control::Coordinator coordinator;
     BootTime now{1000s};
@@ -24,7 +24,7 @@
     std::vector<control::ProposeAction> proposals;
     std::map<control::SessionId, std::vector<wire::ControlMessage>> sent;
 
-    explicit Led(bool checksGrants = true, const control::CoordinatorSettings &settings = {})
+    explicit LeaderFixture(bool checksGrants = true, const control::CoordinatorSettings &settings = {})
         : coordinator(settings, this->state)
     {
         wire::Command table;
@@ -36,7 +36,7 @@
             this->open(session, session == 1 ? "a" : "b", "first", checksGrants);
         }
         for (int round = 0; round < 4; ++round) {
-            this->pass(200ms);
+            this->advance(200ms);
             this->commitAll();
         }
         REQUIRE(this->owned("a") > 0);
@@ -73,7 +73,7 @@
         }
     }
 
-    /** The agent says Released for all that it was asked to give up. */
+    /** Sends Released for all slices that the agent was asked to release. */
     void releaseAll(control::SessionId session)
     {
         for (const wire::ControlMessage &message : std::exchange(this->sent[session], {})) {
@@ -112,14 +112,14 @@
               bool checks = true,
               std::chrono::milliseconds uptime = 0ms)
     {
-        this->greet(session, name, incarnation, uptime);
+        this->sendHello(session, name, incarnation, uptime);
         this->announce(session, "upstream-" + name, checks);
     }
 
-    void greet(control::SessionId session,
-               const std::string &name,
-               const std::string &incarnation,
-               std::chrono::milliseconds uptime)
+    void sendHello(control::SessionId session,
+                   const std::string &name,
+                   const std::string &incarnation,
+                   std::chrono::milliseconds uptime)
     {
         wire::Hello hello;
         hello.set_agent(name);
@@ -144,7 +144,7 @@
         this->collect();
     }
 
-    /** @return the lease that a heartbeat sent now gets */
+    /** @return the lease granted to a heartbeat that is sent now */
     std::chrono::milliseconds renew(control::SessionId session)
     {
         wire::AgentMessage renew;
@@ -158,8 +158,8 @@
         return std::chrono::milliseconds(last.renewed().lease_ms());
     }
 
-    /** Lets time pass in which the given sessions go on renewing. */
-    void pass(std::chrono::milliseconds time, const std::vector<control::SessionId> &renewing = {1, 2})
+    /** Advances time while the given sessions renew. */
+    void advance(std::chrono::milliseconds time, const std::vector<control::SessionId> &renewing = {1, 2})
     {
         for (const BootTime end = this->now + time; this->now < end;) {
             this->now += 5ms;
@@ -187,7 +187,7 @@
         });
     }
 
-    /** Marks a's upstream out. @return the slices it's asked to release */
+    /** Marks the upstream of agent a out of service. @return the slices that the agent is asked to release */
     wire::Revoke markOut()
     {
         wire::Command mark;
@@ -211,206 +211,207 @@
 
 } // namespace
 
-// A clock that runs slow on the agent's VM lets it believe in its lease longer than the leader counts without a margin;
-// for those milliseconds a key has two owners.
-TEST_CASE("control: slices are taken from a silent agent only once lease and drift margin have passed")
+// If the clock of the agent's VM runs slow, the agent uses its lease longer than the leader counts without a margin,
+// and a key has two owners for those milliseconds.
+TEST_CASE("control: slices are taken from an unresponsive agent only after its lease and the drift margin")
 {
-    Led led;
-    led.renew(1);
-    led.pass(Lease + Drift - 5ms, {2});
-    REQUIRE_FALSE(led.proposesSlices());
-    led.pass(5ms, {2});
-    REQUIRE(led.proposesSlices());
+    LeaderFixture fixture;
+    fixture.renew(1);
+    fixture.advance(Lease + Drift - 5ms, {2});
+    REQUIRE_FALSE(fixture.proposesSlices());
+    fixture.advance(5ms, {2});
+    REQUIRE(fixture.proposesSlices());
 }
 
-// The agent of lost keys thaws between the decision to take them and its commit, and its heartbeat is answered at once.
-// With a lease from that answer it would serve until it hears of the commit, beside the new owner.
-TEST_CASE("control: an agent that returns while its slices are being taken gets no lease before it's told")
+// A frozen agent resumes between the decision to take its slices and the commit, and its heartbeat is answered at once.
+// With a lease from that answer it would serve beside the new owner until it receives the commit.
+TEST_CASE("control: an agent that resumes while its slices are being taken gets no lease before the update")
 {
-    Led led;
-    led.pass(Lease + Drift + 10ms, {2});
-    REQUIRE(led.proposesSlices());
-    REQUIRE(led.renew(1) == 0ms);
-    const std::size_t told = led.sent[1].size();
-    led.commitAll();
-    REQUIRE(led.owned("a") == 0);
-    REQUIRE(led.renew(1) == Lease);
-    REQUIRE(led.sent[1][told].has_update());
-    REQUIRE(led.sent[1].back().has_renewed());
+    LeaderFixture fixture;
+    fixture.advance(Lease + Drift + 10ms, {2});
+    REQUIRE(fixture.proposesSlices());
+    REQUIRE(fixture.renew(1) == 0ms);
+    const std::size_t sentBefore = fixture.sent[1].size();
+    fixture.commitAll();
+    REQUIRE(fixture.owned("a") == 0);
+    REQUIRE(fixture.renew(1) == Lease);
+    REQUIRE(fixture.sent[1][sentBefore].has_update());
+    REQUIRE(fixture.sent[1].back().has_renewed());
 }
 
 // A VM is replaced under its old name while the old one is frozen. Both would serve the same keys if the new process
 // got a lease at once.
-TEST_CASE("control: another process under an agent's name waits for the lease of the one before it")
+TEST_CASE("control: a new process under an agent's name gets no lease before its predecessor's has ended")
 {
-    Led led;
-    led.renew(1);
-    led.open(3, "a", "second");
-    led.commitAll();
-    REQUIRE(led.renew(3) == 0ms);
-    led.pass(Lease + Drift - 5ms, {2, 3});
-    REQUIRE(led.renew(3) == 0ms);
-    led.pass(10ms, {2, 3});
-    led.commitAll();
-    REQUIRE(led.renew(3) == Lease);
-    REQUIRE(led.owned("a") > 0);
+    LeaderFixture fixture;
+    fixture.renew(1);
+    fixture.open(3, "a", "second");
+    fixture.commitAll();
+    REQUIRE(fixture.renew(3) == 0ms);
+    fixture.advance(Lease + Drift - 5ms, {2, 3});
+    REQUIRE(fixture.renew(3) == 0ms);
+    fixture.advance(10ms, {2, 3});
+    fixture.commitAll();
+    REQUIRE(fixture.renew(3) == Lease);
+    REQUIRE(fixture.owned("a") > 0);
 }
 
-// All agents are killed and start again where they were. Their upstreams went on, and nobody else holds their keys;
-// still every key stays unserved for a whole lease. The new process has the old one's address, so the old one has
-// ended.
-TEST_CASE("control: where an address proves the end of the process before it, only one at another address waits")
+// All agents are killed and restart at their addresses while their upstreams keep running. Every key would stay
+// unserved for a whole lease, although the reuse of the address proves that the predecessor has exited.
+TEST_CASE("control: where address reuse proves the predecessor's exit, only a new address waits for its lease")
 {
     control::CoordinatorSettings settings;
     settings.addressReuseProvesExit = true;
-    Led led(true, settings);
-    led.renew(1);
-    led.open(3, "a", "second");
-    led.commitAll();
-    REQUIRE(led.renew(3) == Lease);
+    LeaderFixture fixture(true, settings);
+    fixture.renew(1);
+    fixture.open(3, "a", "second");
+    fixture.commitAll();
+    REQUIRE(fixture.renew(3) == Lease);
     wire::Hello elsewhere;
     elsewhere.set_agent("b");
     elsewhere.set_incarnation("second");
     elsewhere.set_peer_address("10.0.0.99:1");
-    led.renew(2);
-    led.coordinator.opened(4, elsewhere, led.now);
-    led.confirm();
-    led.commitAll();
-    REQUIRE(led.renew(4) == 0ms);
+    fixture.renew(2);
+    fixture.coordinator.opened(4, elsewhere, fixture.now);
+    fixture.confirm();
+    fixture.commitAll();
+    REQUIRE(fixture.renew(4) == 0ms);
 }
 
-// An agent is killed and restarted while its upstream, which checks no grants, goes on with what it was sent. Asked to
-// release, the new process knows of no work and says Released at once; the next owner must wait for the old work.
+// An agent restarts while its upstream, which doesn't check grants, still runs requests. The new process knows of no
+// work and sends Released at once; the next owner must wait until the old requests must have ended.
 TEST_CASE("control: a restarted agent's Released counts only after the longest deadline since its start")
 {
-    Led led(false);
-    led.pass(Lease, {2});
-    led.open(3, "a", "second", false);
-    led.pass(Drift + 10ms, {2, 3});
-    led.commitAll();
-    led.pass(100ms, {2, 3});
-    led.markOut();
-    const wire::Revoke revoked = led.sent[3].back().revoke();
+    LeaderFixture fixture(false);
+    fixture.advance(Lease, {2});
+    fixture.open(3, "a", "second", false);
+    fixture.advance(Drift + 10ms, {2, 3});
+    fixture.commitAll();
+    fixture.advance(100ms, {2, 3});
+    fixture.markOut();
+    const wire::Revoke revoked = fixture.sent[3].back().revoke();
     REQUIRE(revoked.slices_size() > 0);
-    led.release(3, revoked);
-    REQUIRE_FALSE(led.proposesSlices());
-    led.pass(Timeout - 120ms - Drift, {2, 3});
-    REQUIRE_FALSE(led.proposesSlices());
-    led.pass(60ms + Drift, {2, 3});
-    REQUIRE(led.proposesSlices());
+    fixture.release(3, revoked);
+    REQUIRE_FALSE(fixture.proposesSlices());
+    fixture.advance(Timeout - 120ms - Drift, {2, 3});
+    REQUIRE_FALSE(fixture.proposesSlices());
+    fixture.advance(60ms + Drift, {2, 3});
+    REQUIRE(fixture.proposesSlices());
 }
 
-// A Released of an older epoch, delayed on its way, arrives when the slice is the agent's again; it speaks of a holding
-// that is long over.
-TEST_CASE("control: a Released counts only for the present epoch and from the owner's agent")
+// A delayed Released of an older epoch arrives after the agent has been granted the slice again. It must not end the
+// current ownership.
+TEST_CASE("control: a Released counts only for the current epoch and from the owner's agent")
 {
-    Led led;
-    wire::Revoke revoked = led.markOut();
+    LeaderFixture fixture;
+    wire::Revoke revoked = fixture.markOut();
     REQUIRE(revoked.slices_size() > 0);
-    led.release(2, revoked);
-    REQUIRE_FALSE(led.proposesSlices());
+    fixture.release(2, revoked);
+    REQUIRE_FALSE(fixture.proposesSlices());
     for (wire::SliceRef &slice : *revoked.mutable_slices()) {
         slice.set_epoch(slice.epoch() - 1);
     }
-    led.release(1, revoked);
-    REQUIRE_FALSE(led.proposesSlices());
+    fixture.release(1, revoked);
+    REQUIRE_FALSE(fixture.proposesSlices());
     for (wire::SliceRef &slice : *revoked.mutable_slices()) {
         slice.set_epoch(slice.epoch() + 1);
     }
-    led.release(1, revoked);
-    REQUIRE(led.proposesSlices());
-    led.commitAll();
-    REQUIRE(led.owned("a") == 0);
+    fixture.release(1, revoked);
+    REQUIRE(fixture.proposesSlices());
+    fixture.commitAll();
+    REQUIRE(fixture.owned("a") == 0);
 }
 
-// The session breaks while a Revoke is on its way. The agent starts the next session without it, so the move would
-// wait for ever for a Released.
+// The session breaks while a Revoke is in flight. The agent doesn't receive it, so the move would wait for Released
+// forever.
 TEST_CASE("control: a Revoke is sent again on the next session")
 {
-    Led led;
-    const wire::Revoke revoked = led.markOut();
-    led.coordinator.closed(1);
-    led.open(3, "a", "first");
-    const auto again = std::find_if(led.sent[3].begin(), led.sent[3].end(), [](const wire::ControlMessage &message) {
-        return message.has_revoke();
-    });
-    REQUIRE(led.sent[3].front().has_accepted());
-    REQUIRE(led.sent[3].at(1).update().full());
-    REQUIRE(again != led.sent[3].end());
+    LeaderFixture fixture;
+    const wire::Revoke revoked = fixture.markOut();
+    fixture.coordinator.closed(1);
+    fixture.open(3, "a", "first");
+    const auto again =
+        std::find_if(fixture.sent[3].begin(), fixture.sent[3].end(), [](const wire::ControlMessage &message) {
+            return message.has_revoke();
+        });
+    REQUIRE(fixture.sent[3].front().has_accepted());
+    REQUIRE(fixture.sent[3].at(1).update().full());
+    REQUIRE(again != fixture.sent[3].end());
     REQUIRE(again->revoke().slices_size() == revoked.slices_size());
 }
 
-// A replica that was cut off for long, and believes to lead, offers its old state to an agent that has seen newer.
+// A replica that was partitioned for long and still acts as leader would send its old state to an agent that has newer
+// state.
 TEST_CASE("control: a leader behind what the agent has seen closes the session")
 {
-    Led led;
+    LeaderFixture fixture;
     wire::Hello hello;
     hello.set_agent("c");
     hello.mutable_seen()->set_term(2);
-    led.coordinator.opened(9, hello, led.now);
-    const std::vector<control::Action> actions = led.coordinator.takeActions();
+    fixture.coordinator.opened(9, hello, fixture.now);
+    const std::vector<control::Action> actions = fixture.coordinator.takeActions();
     REQUIRE(actions.size() == 1);
     REQUIRE(std::get<control::CloseAction>(actions[0]).session == 9);
 }
 
-// A treasurer's balances are refused for four seconds after all VMs lost power, though every process is back. Order:
-// the upstream beside agent a starts again and listens at its old address; the agent announces it at once. Cause: what
-// the agent doesn't announce may be late, so it is waited for, but here its successor proves that it is gone.
-TEST_CASE("control: an upstream whose address a later process has taken is not waited for")
+// Requests are refused for four seconds after all VMs lost power, although every process runs again. The leader waits
+// for upstreams that a restarted agent may still announce, although a new upstream at the same address proves that the
+// old one has exited.
+TEST_CASE("control: an upstream whose address a later process uses is retired without waiting")
 {
     const bool sameAddress = GENERATE(true, false);
     control::CoordinatorSettings settings;
     settings.addressReuseProvesExit = true;
     settings.announceGrace = 3s;
-    Led led(true, settings);
-    led.announce(1, "before", true, sameAddress ? 1000 : 0);
-    led.commitAll();
-    led.coordinator.closed(1);
-    led.greet(3, "a", "second", 0ms);
-    led.announce(3, "after", true, 2000);
+    LeaderFixture fixture(true, settings);
+    fixture.announce(1, "before", true, sameAddress ? 1000 : 0);
+    fixture.commitAll();
+    fixture.coordinator.closed(1);
+    fixture.sendHello(3, "a", "second", 0ms);
+    fixture.announce(3, "after", true, 2000);
     for (int round = 0; round < 4; ++round) {
-        led.pass(50ms, {2, 3});
-        led.commitAll();
+        fixture.advance(50ms, {2, 3});
+        fixture.commitAll();
     }
-    CHECK(led.state.upstreams().find("catalogue", "after")->serving());
-    CHECK(led.state.upstreams().find("catalogue", "before")->serving() == !sameAddress);
+    CHECK(fixture.state.upstreams().find("catalogue", "after")->serving());
+    CHECK(fixture.state.upstreams().find("catalogue", "before")->serving() == !sameAddress);
 }
 
 /*
- * All VMs lose power. An agent and its upstream come back together, the upstream as a new process at its old address.
- * The agent may not say that the old process's keys are free: it doesn't know what the agent before it had granted. The
- * keys were refused for as long as that could hold; the new process at that very address can have them at once.
+ * After a loss of power an agent and its upstream restart together, the upstream as a new process at its old address.
+ * The agent can't release the old process's keys, because it doesn't know the grants of its predecessor. The keys were
+ * refused until those grants had expired, although the new process at that address can own them at once.
  */
-TEST_CASE("control: the process that took an ended one's address gets its slices without a release")
+TEST_CASE("control: a process that uses the address of an ended one gets its slices without a release")
 {
     control::CoordinatorSettings settings;
     settings.addressReuseProvesExit = true;
     settings.announceGrace = 3s;
     settings.rebalanceDelay = 0ms;
-    Led led(true, settings);
-    led.announce(1, "before", true, 1000);
+    LeaderFixture fixture(true, settings);
+    fixture.announce(1, "before", true, 1000);
     for (int round = 0; round < 20; ++round) {
-        led.pass(200ms);
-        led.commitAll();
-        led.releaseAll(1);
-        led.releaseAll(2);
-        led.commitAll();
+        fixture.advance(200ms);
+        fixture.commitAll();
+        fixture.releaseAll(1);
+        fixture.releaseAll(2);
+        fixture.commitAll();
     }
-    const std::map<std::uint64_t, std::uint64_t> owned = led.epochsOf("before");
+    const std::map<std::uint64_t, std::uint64_t> owned = fixture.epochsOf("before");
     REQUIRE_FALSE(owned.empty());
 
-    led.coordinator.closed(1);
-    led.greet(3, "a", "second", 0ms);
-    led.announce(3, "upstream-a", true);
-    led.announce(3, "after", true, 2000);
+    fixture.coordinator.closed(1);
+    fixture.sendHello(3, "a", "second", 0ms);
+    fixture.announce(3, "upstream-a", true);
+    fixture.announce(3, "after", true, 2000);
     for (int round = 0; round < 4; ++round) {
-        led.pass(50ms, {2, 3});
-        led.commitAll();
+        fixture.advance(50ms, {2, 3});
+        fixture.commitAll();
     }
-    CHECK(led.epochsOf("before").empty());
-    const std::map<std::uint64_t, std::uint64_t> passed = led.epochsOf("after");
+    CHECK(fixture.epochsOf("before").empty());
+    const std::map<std::uint64_t, std::uint64_t> reassigned = fixture.epochsOf("after");
     for (const auto &[begin, epoch] : owned) {
-        REQUIRE(passed.contains(begin));
-        CHECK(passed.at(begin) == epoch + 1);
+        REQUIRE(reassigned.contains(begin));
+        CHECK(reassigned.at(begin) == epoch + 1);
     }
 }
--- a/tests/CoordinatorTest.cpp
+++ b/tests/CoordinatorTest.cpp
@@ -1,4 +1,4 @@
-#include "ControlPump.h"
+#include "ControlSimulation.h"
 
 #include <catch2/catch.hpp>
 
@@ -6,7 +6,7 @@
 
 using namespace bergamotweir;
 using namespace std::chrono_literals;
-using test::ControlPump;
+using test::ControlSimulation;
 using test::Fault;
 
 namespace {
@@ -14,7 +14,7 @@
 constexpr Fault AllFaults[] = {Fault::KillAgent,
                                Fault::RestartAgent,
                                Fault::FreezeAgent,
-                               Fault::CutAgent,
+                               Fault::PartitionAgent,
                                Fault::CrashUpstream,
                                Fault::DrainUpstream,
                                Fault::MarkOut,
@@ -22,130 +22,131 @@
                                Fault::ChangeLeader,
                                Fault::DelayNetwork};
 
-/** Brings a fresh system to where every key is served. */
-void settle(ControlPump &pump)
+/** Runs a new system until every key is served. */
+void runUntilServed(ControlSimulation &simulation)
 {
-    pump.run(1500ms);
-    REQUIRE_THAT(pump.broken, Catch::Equals(""));
-    REQUIRE(pump.allServed());
-    pump.longestGap = {};
+    simulation.run(1500ms);
+    REQUIRE_THAT(simulation.violation, Catch::Equals(""));
+    REQUIRE(simulation.allServed());
+    simulation.maxServiceGap = {};
 }
 
 } // namespace
 
 TEST_CASE("control: agents announce themselves and every key gets one owner")
 {
-    ControlPump pump(1, 4);
-    settle(pump);
+    ControlSimulation simulation(1, 4);
+    runUntilServed(simulation);
     for (std::size_t agent = 0; agent < 4; ++agent) {
-        REQUIRE(pump.served(agent) > 0);
+        REQUIRE(simulation.served(agent) > 0);
     }
 }
 
-// A VM is lost with its agent. Callers of its keys get no answer until the lease has surely ended and others own them.
+// A VM fails together with its agent. Its keys are unserved until its lease must have ended and they have other owners.
 TEST_CASE("control: a killed agent's keys are served again within a second")
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         INFO("seed " << seed);
-        ControlPump pump(seed, 4, true);
-        settle(pump);
-        pump.inject(Fault::KillAgent);
-        pump.run(2000ms);
-        REQUIRE_THAT(pump.broken, Catch::Equals(""));
-        REQUIRE(pump.allServed());
-        REQUIRE(pump.longestGap < 1s);
+        ControlSimulation simulation(seed, 4, true);
+        runUntilServed(simulation);
+        simulation.inject(Fault::KillAgent);
+        simulation.run(2000ms);
+        REQUIRE_THAT(simulation.violation, Catch::Equals(""));
+        REQUIRE(simulation.allServed());
+        REQUIRE(simulation.maxServiceGap < 1s);
     }
 }
 
-// Only the upstream process dies; its agent sees it at once and gives the keys back without waiting for any lease.
+// Only the upstream process crashes; its agent detects it at once and releases the keys without waiting for a lease.
 TEST_CASE("control: a crashed upstream's keys are served again within 0.3 seconds")
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         INFO("seed " << seed);
-        ControlPump pump(seed, 4);
-        settle(pump);
-        pump.inject(Fault::CrashUpstream);
-        pump.run(1000ms);
-        REQUIRE_THAT(pump.broken, Catch::Equals(""));
-        REQUIRE(pump.allServed());
-        REQUIRE(pump.longestGap < 300ms);
+        ControlSimulation simulation(seed, 4);
+        runUntilServed(simulation);
+        simulation.inject(Fault::CrashUpstream);
+        simulation.run(1000ms);
+        REQUIRE_THAT(simulation.violation, Catch::Equals(""));
+        REQUIRE(simulation.allServed());
+        REQUIRE(simulation.maxServiceGap < 300ms);
     }
 }
 
-// The leader's VM is lost. Agents that find the next one before their leases end go on without a gap, and no slice
-// moves: a new leader that took all of them for lost would move every key.
-TEST_CASE("control: a change of leader moves nothing and leaves no gap to speak of")
+// The leader's VM fails. Agents that find the next leader before their leases end serve without a gap. A new leader
+// that declared all agents lost would move every key.
+TEST_CASE("control: a change of leader moves nothing and leaves all keys served")
 {
-    ControlPump pump(3, 4);
-    settle(pump);
-    const std::string before = pump.state().services().begin()->second.slices().empty()
+    ControlSimulation simulation(3, 4);
+    runUntilServed(simulation);
+    const std::string before = simulation.state().services().begin()->second.slices().empty()
                                    ? ""
-                                   : pump.state().fullUpdate().services(0).SerializeAsString();
-    pump.inject(Fault::ChangeLeader);
-    pump.run(1500ms);
-    REQUIRE_THAT(pump.broken, Catch::Equals(""));
-    REQUIRE(pump.allServed());
-    REQUIRE(pump.state().fullUpdate().services(0).SerializeAsString() == before);
+                                   : simulation.state().fullUpdate().services(0).SerializeAsString();
+    simulation.inject(Fault::ChangeLeader);
+    simulation.run(1500ms);
+    REQUIRE_THAT(simulation.violation, Catch::Equals(""));
+    REQUIRE(simulation.allServed());
+    REQUIRE(simulation.state().fullUpdate().services(0).SerializeAsString() == before);
 }
 
-// A fleet is restarted VM by VM. Evened out after each return, every key would move twice; a VM that just returned
-// takes the next one's keys instead, and the others are left alone.
+// In a rolling restart every key would move twice if load were rebalanced after each VM. Instead a restarted VM gets
+// the keys of the next VM, and the other VMs keep theirs.
 TEST_CASE("control: a restarted agent takes over from the next one, without moves of others' keys")
 {
-    ControlPump pump(5, 4, true);
-    settle(pump);
-    pump.inject(Fault::KillAgent, 0);
-    pump.run(1000ms);
-    pump.heal();
-    pump.run(1000ms);
-    REQUIRE(pump.slices(0) == 0);
-    const std::size_t others[] = {pump.slices(2), pump.slices(3)};
-    const std::size_t next = pump.slices(1);
-    pump.inject(Fault::KillAgent, 1);
-    pump.run(1000ms);
-    REQUIRE_THAT(pump.broken, Catch::Equals(""));
-    REQUIRE(pump.slices(0) == next);
-    REQUIRE(pump.slices(2) == others[0]);
-    REQUIRE(pump.slices(3) == others[1]);
+    ControlSimulation simulation(5, 4, true);
+    runUntilServed(simulation);
+    simulation.inject(Fault::KillAgent, 0);
+    simulation.run(1000ms);
+    simulation.heal();
+    simulation.run(1000ms);
+    REQUIRE(simulation.slices(0) == 0);
+    const std::size_t others[] = {simulation.slices(2), simulation.slices(3)};
+    const std::size_t next = simulation.slices(1);
+    simulation.inject(Fault::KillAgent, 1);
+    simulation.run(1000ms);
+    REQUIRE_THAT(simulation.violation, Catch::Equals(""));
+    REQUIRE(simulation.slices(0) == next);
+    REQUIRE(simulation.slices(2) == others[0]);
+    REQUIRE(simulation.slices(3) == others[1]);
 }
 
-// Operators bring an upstream back and watch for it to take load; only restarts are waited out.
-TEST_CASE("control: an upstream that is marked in again gets its share at once, step by step")
+// An operator marks an upstream in and expects it to get load at once; only restarts delay rebalancing.
+TEST_CASE("control: an upstream that is marked in again gets its share without a delay, step by step")
 {
-    ControlPump pump(6, 4);
-    settle(pump);
-    const std::size_t share = pump.slices(0);
-    pump.inject(Fault::MarkOut, 0);
-    pump.run(1500ms);
-    REQUIRE(pump.slices(0) == 0);
-    pump.inject(Fault::MarkIn, 0);
+    ControlSimulation simulation(6, 4);
+    runUntilServed(simulation);
+    const std::size_t share = simulation.slices(0);
+    simulation.inject(Fault::MarkOut, 0);
+    simulation.run(1500ms);
+    REQUIRE(simulation.slices(0) == 0);
+    simulation.inject(Fault::MarkIn, 0);
     std::size_t before = 0;
     for (int look = 0; look < 400; ++look) {
-        pump.run(10ms);
-        REQUIRE(pump.slices(0) <= before + 2);
-        before = pump.slices(0);
+        simulation.run(10ms);
+        REQUIRE(simulation.slices(0) <= before + 2);
+        before = simulation.slices(0);
     }
-    REQUIRE(pump.slices(0) >= share - 1);
-    REQUIRE_THAT(pump.broken, Catch::Equals(""));
+    REQUIRE(simulation.slices(0) >= share - 1);
+    REQUIRE_THAT(simulation.violation, Catch::Equals(""));
 }
 
-// Every step of granting, renewing, revoking, releasing and moving meets every fault: the fault strikes just before
-// the n-th thing that happens after a failure domain is marked out. A key with two owners, or work on one key at two
-// upstreams, is the double payment; a key without an owner after all has healed is the payment that never goes out.
+// Combines every step of granting, renewing, revoking, releasing and moving with every fault: the fault is injected
+// just before the n-th event after an upstream is marked out. A key with two owners, or work on one key at two
+// upstreams, would be a double payment. A key without an owner after all faults have ended would be a payment that is
+// never made.
 TEST_CASE("control: every fault at every step of a move leaves one owner, and all keys served once healed")
 {
     for (const Fault fault : AllFaults) {
         for (std::uint64_t step = 0; step < 80; ++step) {
             INFO("fault " << static_cast<int>(fault) << " at step " << step);
-            ControlPump pump(step + 1, 3);
-            pump.run(1200ms);
-            pump.inject(Fault::MarkOut, 0);
-            pump.run(1200ms, fault, step);
-            REQUIRE_THAT(pump.broken, Catch::Equals(""));
-            pump.heal();
-            pump.run(3500ms);
-            REQUIRE_THAT(pump.broken, Catch::Equals(""));
-            REQUIRE(pump.allServed());
+            ControlSimulation simulation(step + 1, 3);
+            simulation.run(1200ms);
+            simulation.inject(Fault::MarkOut, 0);
+            simulation.run(1200ms, fault, step);
+            REQUIRE_THAT(simulation.violation, Catch::Equals(""));
+            simulation.heal();
+            simulation.run(3500ms);
+            REQUIRE_THAT(simulation.violation, Catch::Equals(""));
+            REQUIRE(simulation.allServed());
         }
     }
 }
@@ -155,21 +156,22 @@
     for (std::uint64_t seed = 1; seed <= 300; ++seed) {
         INFO("seed " << seed);
         pcg32 choice(seed);
-        ControlPump pump(seed, 4);
-        pump.run(1200ms);
+        ControlSimulation simulation(seed, 4);
+        simulation.run(1200ms);
         for (int round = 0; round < 3; ++round) {
-            pump.inject(AllFaults[choice(std::size(AllFaults))]);
-            pump.run(std::chrono::milliseconds(50 + choice(900)), AllFaults[choice(std::size(AllFaults))], choice(60));
-            REQUIRE_THAT(pump.broken, Catch::Equals(""));
+            simulation.inject(AllFaults[choice(std::size(AllFaults))]);
+            simulation.run(
+                std::chrono::milliseconds(50 + choice(900)), AllFaults[choice(std::size(AllFaults))], choice(60));
+            REQUIRE_THAT(simulation.violation, Catch::Equals(""));
         }
-        pump.heal();
-        pump.run(4000ms);
-        REQUIRE_THAT(pump.broken, Catch::Equals(""));
-        REQUIRE(pump.allServed());
+        simulation.heal();
+        simulation.run(4000ms);
+        REQUIRE_THAT(simulation.violation, Catch::Equals(""));
+        REQUIRE(simulation.allServed());
     }
 }
 
-// Prints, for docs/design/ownership.md: run by name.
+// Prints figures for docs/design/ownership.md; run by name.
 TEST_CASE("measure: longest time without service of any key, by fault, in fake time", "[.measure]")
 {
     constexpr std::pair<Fault, const char *> Kinds[] = {{Fault::MarkOut, "planned move"},
@@ -179,12 +181,12 @@
     for (const auto &[fault, name] : Kinds) {
         std::vector<std::chrono::nanoseconds> gaps;
         for (std::uint64_t seed = 1; seed <= 100; ++seed) {
-            ControlPump pump(seed, 4, true);
-            settle(pump);
-            pump.inject(fault);
-            pump.run(2000ms);
-            REQUIRE_THAT(pump.broken, Catch::Equals(""));
-            gaps.push_back(pump.longestGap);
+            ControlSimulation simulation(seed, 4, true);
+            runUntilServed(simulation);
+            simulation.inject(fault);
+            simulation.run(2000ms);
+            REQUIRE_THAT(simulation.violation, Catch::Equals(""));
+            gaps.push_back(simulation.maxServiceGap);
         }
         std::sort(gaps.begin(), gaps.end());
         const auto inMilliseconds = [](std::chrono::nanoseconds gap) {
--- a/tests/LoadTrackerTest.cpp
+++ b/tests/LoadTrackerTest.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr BootTime Start{100s};
-/** Seconds that each upstream works on a request: two fast, two slow, as VMs of one service differ. */
+/** Work time per request of each upstream in seconds; VMs of one service differ in speed. */
 constexpr std::array<float, 6> WorkSeconds{0.112F, 0.112F, 0.256F, 0.112F, 0.112F, 0.256F};
 constexpr double Slots = 12;
 constexpr double RequestsPerSecond = 300;
@@ -29,8 +29,8 @@
     return renew;
 }
 
-/** @return the largest part of an upstream's slots that is in use when the slices are spread over the members */
-double busiest(const std::vector<Member> &members)
+/** @return the highest fraction of an upstream's slots in use once slices are spread over the members */
+double maxSlotUse(const std::vector<Member> &members)
 {
     std::vector<LoadedSlice> slices;
     const std::size_t count = SlicesPerUpstream * members.size();
@@ -41,22 +41,22 @@
     for (const SliceMove &move : assign(members, slices, 0.05)) {
         load[move.to] += 1.0 / static_cast<double>(count);
     }
-    double most = 0;
+    double maximum = 0;
     for (std::size_t number = 0; number < WorkSeconds.size(); ++number) {
         const double inProgress = load[static_cast<std::uint32_t>(number)] * RequestsPerSecond * WorkSeconds.at(number);
-        most = std::max(most, inProgress / Slots);
+        maximum = std::max(maximum, inProgress / Slots);
     }
-    return most;
+    return maximum;
 }
 
 } // namespace
 
 /*
- * Six upstreams share the keys of a service, two of them on VMs that take more than twice as long. With as many
- * requests for each, the slow ones turn callers away while the fast ones have free slots: at 300 requests a second they
- * would need 1.07 times their slots. Shared by the speed seen, the fullest needs 0.71 of its slots.
+ * Six upstreams share the keys of a service, two of them on VMs that take more than twice as long. With equal request
+ * rates the slow ones refuse requests while the fast ones have free slots: at 300 requests per second they would need
+ * 1.07 times their slots. With loads by measured speed, the most loaded one needs 0.71 of its slots.
  */
-TEST_CASE("loads: keys follow the speed of upstreams, so that no slow one is over its slots while others are free")
+TEST_CASE("loads: load follows the speed of upstreams, so that no slow one exceeds its slots while others are free")
 {
     LoadTracker loads;
     std::vector<Member> equal;
@@ -68,8 +68,8 @@
         equal.push_back({upstream, 1});
         bySpeed.push_back({upstream, loads.relativeSpeeds("seats", Start).at(upstream)});
     }
-    CHECK(busiest(equal) > 1);
-    CHECK(busiest(bySpeed) < 0.8);
+    CHECK(maxSlotUse(equal) > 1);
+    CHECK(maxSlotUse(bySpeed) < 0.8);
 }
 
 TEST_CASE("loads: an upstream's speed is known from its first report on, follows reports, and is bounded")
@@ -91,10 +91,10 @@
 }
 
 /*
- * Upstreams come and go by the thousand while a leader leads. Times of those that are gone would fill its memory, and
- * one that comes back after an hour would be judged by what it was then.
+ * Thousands of upstreams start and stop during one leader's term. Without expiry, work times of stopped ones would fill
+ * its memory, and one that restarts after an hour would get its load by an outdated work time.
  */
-TEST_CASE("loads: an upstream that answers nothing for a minute is forgotten")
+TEST_CASE("loads: the work time of an upstream that answers nothing for a minute is removed")
 {
     LoadTracker loads;
     for (std::uint32_t upstream = 0; upstream < 1000; ++upstream) {
@@ -102,7 +102,7 @@
     }
     loads.report(reportOf(7, 0.1F, 10), Start + 50s);
     REQUIRE(loads.relativeSpeeds("seats", Start + 59s).size() == 1000);
-    const auto left = loads.relativeSpeeds("seats", Start + 61s);
-    REQUIRE(left.size() == 1);
-    REQUIRE(left.at(7) == Approx(1));
+    const auto remaining = loads.relativeSpeeds("seats", Start + 61s);
+    REQUIRE(remaining.size() == 1);
+    REQUIRE(remaining.at(7) == Approx(1));
 }
--- a/tests/SliceSplitsTest.cpp
+++ b/tests/SliceSplitsTest.cpp
@@ -13,10 +13,10 @@
 
 namespace {
 
-constexpr std::uint64_t Hot = 0x1234567890abcdef;
+constexpr std::uint64_t HotKeyHash = 0x1234567890abcdef;
 
-/** Four slices, all of owner 7. */
-SliceMap owned()
+/** @return four slices, all owned by upstream 7 */
+SliceMap ownedSlices()
 {
     SliceMap map = SliceMap::uniform(4);
     const SliceMap::Slices slices = map.slices();
@@ -30,7 +30,7 @@
     return map;
 }
 
-void carryOut(SliceMap &map, const SliceSplits &splits)
+void applySplits(SliceMap &map, const SliceSplits &splits)
 {
     for (const std::uint64_t begin : splits.added) {
         wire::SliceOwner slice = toWire(map.at(begin));
@@ -51,21 +51,21 @@
     load.set_rate(rate);
     wire::HotKey &key = *renew.add_hot_keys();
     key.set_service("catalogue");
-    key.set_hash(Hot);
+    key.set_hash(HotKeyHash);
     key.set_rate(hotRate);
     return renew;
 }
 
 } // namespace
 
-TEST_CASE("slices are halved until there are enough, and none is cut while it moves")
+TEST_CASE("slices are halved until there are enough, and none is split while it moves")
 {
-    SliceMap map = owned();
-    carryOut(map, planSplits(map, 10, {}, {0}));
+    SliceMap map = ownedSlices();
+    applySplits(map, planSplits(map, 10, {}, {0}));
     REQUIRE(map.slices().size() == 7);
-    carryOut(map, planSplits(map, 10, {}, {}));
+    applySplits(map, planSplits(map, 10, {}, {}));
     REQUIRE(map.slices().size() == 8);
-    carryOut(map, planSplits(map, 10, {}, {}));
+    applySplits(map, planSplits(map, 10, {}, {}));
     REQUIRE(map.slices().size() == 16);
     REQUIRE(planSplits(map, 10, {}, {}).empty());
     for (auto slice = map.slices().begin(); slice != map.slices().end(); ++slice) {
@@ -74,25 +74,25 @@
     }
 }
 
-TEST_CASE("a hot key gets a slice of its own and loses it once it has cooled")
+TEST_CASE("a hot key gets a slice of its own, which is merged once the key is no longer hot")
 {
-    SliceMap map = owned();
-    carryOut(map, planSplits(map, 4, {Hot}, {}));
+    SliceMap map = ownedSlices();
+    applySplits(map, planSplits(map, 4, {HotKeyHash}, {}));
     REQUIRE(map.slices().size() == 6);
-    REQUIRE(map.at(Hot)->first == Hot);
-    REQUIRE(map.at(Hot + 1)->first == Hot + 1);
-    REQUIRE(planSplits(map, 4, {Hot}, {}).empty());
+    REQUIRE(map.at(HotKeyHash)->first == HotKeyHash);
+    REQUIRE(map.at(HotKeyHash + 1)->first == HotKeyHash + 1);
+    REQUIRE(planSplits(map, 4, {HotKeyHash}, {}).empty());
     SECTION("cooled beside its old neighbours")
     {
-        carryOut(map, planSplits(map, 4, {}, {}));
+        applySplits(map, planSplits(map, 4, {}, {}));
         REQUIRE(map.slices().size() == 4);
-        REQUIRE(map.at(Hot)->second.epoch > 1);
+        REQUIRE(map.at(HotKeyHash)->second.epoch > 1);
     }
     SECTION("cooled, but owned by another upstream or on the move")
     {
-        REQUIRE(planSplits(map, 4, {}, {Hot}).merged.empty());
+        REQUIRE(planSplits(map, 4, {}, {HotKeyHash}).merged.empty());
         wire::SliceOwner elsewhere;
-        elsewhere.set_begin(Hot);
+        elsewhere.set_begin(HotKeyHash);
         elsewhere.set_owner(8);
         elsewhere.set_epoch(2);
         REQUIRE(map.put(elsewhere));
@@ -100,9 +100,9 @@
     }
 }
 
-TEST_CASE("loads count once enough was measured, and hot keys are forgotten when nobody reports them")
+TEST_CASE("loads count once enough was measured, and hot keys expire when they are no longer reported")
 {
-    const SliceMap map = owned();
+    const SliceMap map = ownedSlices();
     LoadTracker loads;
     BootTime now{1000s};
     std::vector<LoadedSlice> slices;
@@ -119,23 +119,22 @@
     loads.distributeLoad("catalogue", map, slices);
     REQUIRE(slices[0].load > 0.6);
     REQUIRE(slices[1].load == Approx(0.05));
-    REQUIRE(loads.hotKeys("catalogue", 0.1, now) == std::vector<std::uint64_t>{Hot});
+    REQUIRE(loads.hotKeys("catalogue", 0.1, now) == std::vector<std::uint64_t>{HotKeyHash});
     REQUIRE(loads.hotKeys("catalogue", 0.5, now).empty());
     REQUIRE(loads.hotKeys("catalogue", 0.1, now + 11s).empty());
 }
 
-// Every second balance of one upstream is refused for the five seconds in which its neighbouring keys are busy, while
-// the other upstreams have room. Cause: the load had counted only once ten reports, one a second, had been smoothed
-// away.
-TEST_CASE("loads: a range that turns busy weighs most of what it carries within three reports")
+// One upstream refuses every second request while adjacent keys are busy for five seconds, although other upstreams
+// have free slots. With too much smoothing the load had counted only after ten reports, one per second.
+TEST_CASE("loads: most of the load of a range that becomes busy counts within three reports")
 {
-    const SliceMap map = owned();
+    const SliceMap map = ownedSlices();
     LoadTracker loads;
     std::vector<LoadedSlice> slices;
     for (const auto &[begin, holding] : map.slices()) {
         slices.push_back({begin, holding.owner, 0, false});
     }
-    const auto tell = [&](float first, float others) {
+    const auto reportRates = [&](float first, float others) {
         wire::Renew renew;
         for (const LoadedSlice &slice : slices) {
             wire::SliceLoad &load = *renew.add_loads();
@@ -146,32 +145,33 @@
         loads.report(renew, BootTime(1000s));
     };
     for (int beat = 0; beat < 20; ++beat) {
-        tell(20, 20);
+        reportRates(20, 20);
     }
     for (int beat = 0; beat < 3; ++beat) {
-        tell(200, 20);
+        reportRates(200, 20);
     }
     loads.distributeLoad("catalogue", map, slices);
     REQUIRE(slices.size() == 4);
-    // Its own are 200 of 260: 0.77, most of it seen by then. With a tenth of each report and half by width: 0.40.
+    // Its actual share is 200 of 260, 0.77, of which most must count by then. Smoothing by a tenth of each report and
+    // half of the load by width would give 0.40.
     REQUIRE(slices.front().load > 0.55);
 }
 
-TEST_CASE("splits: slices of numbered keys are cut at whole keys, down to single ones and no further")
+TEST_CASE("splits: slices of numbered keys are split only between keys, down to single keys")
 {
-    constexpr std::uint64_t Grain = std::uint64_t{1} << 48U;
-    SliceMap map = SliceMap::uniform(64, Grain);
+    constexpr std::uint64_t Alignment = std::uint64_t{1} << 48U;
+    SliceMap map = SliceMap::uniform(64, Alignment);
     for (int round = 0; round < 3; ++round) {
-        carryOut(map, planSplits(map, 512, {}, {}, Grain));
+        applySplits(map, planSplits(map, 512, {}, {}, Alignment));
     }
     REQUIRE(map.slices().size() == 512);
-    const std::uint64_t hot = 77 * Grain;
-    carryOut(map, planSplits(map, 512, {hot}, {}, Grain));
+    const std::uint64_t hot = 77 * Alignment;
+    applySplits(map, planSplits(map, 512, {hot}, {}, Alignment));
     REQUIRE(map.slices().contains(hot));
-    REQUIRE(map.slices().contains(hot + Grain));
+    REQUIRE(map.slices().contains(hot + Alignment));
     REQUIRE(map.slices().size() == 514);
-    REQUIRE(planSplits(map, 512, {hot}, {}, Grain).empty());
+    REQUIRE(planSplits(map, 512, {hot}, {}, Alignment).empty());
     for (const auto &[begin, holding] : map.slices()) {
-        REQUIRE(begin % Grain == 0);
+        REQUIRE(begin % Alignment == 0);
     }
 }
--- a/tests/TableChangeExplorerTest.cpp
+++ b/tests/TableChangeExplorerTest.cpp
@@ -18,18 +18,18 @@
 
 namespace {
 
-/** Guards that a world may lack, to show that the explorer finds what they prevent. */
-enum class Without { Nothing, OlderStateCheck, FullState, Removals };
+/** Guards that a run can disable, to show that the exploration finds the faults that they prevent. */
+enum class DisabledGuard { None, OlderStateCheck, FullState, Removals };
 
 enum class Event {
     PatchRoutes,
     ReplaceRoutes,
     MarkDomain,
-    CommitUnseen,
+    CommitInvisible,
     Tick,
     ConfirmLeader,
     Deliver,
-    DeliverLate,
+    DeliverDelayed,
     BreakSession,
     RestartAgent,
     ChangeLeader,
@@ -40,7 +40,7 @@
 constexpr auto EventCount = static_cast<unsigned>(Event::Count);
 using Message = std::shared_ptr<const wire::ControlMessage>;
 
-/** Items by name: their order in a table means nothing. */
+/** @return the items of a table by name, because their order has no meaning */
 std::map<std::string, std::string> contentOf(const wire::RouteTable &routes)
 {
     std::map<std::string, std::string> content;
@@ -56,7 +56,7 @@
     return content;
 }
 
-/** Adds two workspaces that exchange their keys at each change, or one that takes over the key of the other. */
+/** Adds two workspaces that swap their keys at each change, or one that takes over the key of the other. */
 void addWorkspaces(wire::PutRoutes &change)
 {
     wire::RouteTable &table = *change.mutable_table();
@@ -73,19 +73,19 @@
     }
 }
 
-/** One replicated state, the leader's coordinator and one agent that applies what it is sent; runs the real core. */
+/** One replicated state, the leader's coordinator and one agent that applies updates; runs the production code. */
 class World
 {
 public:
-    explicit World(Without without)
-        : without(without)
+    explicit World(DisabledGuard disabledGuard)
+        : disabledGuard(disabledGuard)
     {
         this->lead();
         this->connect();
         this->put(false, "r0");
     }
 
-    void happen(Event event)
+    void handle(Event event)
     {
         this->now += 1ms;
         switch (event) {
@@ -98,7 +98,7 @@
         case Event::MarkDomain:
             this->mark();
             break;
-        case Event::CommitUnseen: {
+        case Event::CommitInvisible: {
             wire::Command command;
             command.mutable_expire_claims();
             this->commit(command);
@@ -116,10 +116,10 @@
         case Event::Deliver:
             this->deliver();
             break;
-        case Event::DeliverLate:
-            if (!this->late.empty()) {
-                this->apply(*this->late.front());
-                this->late.pop_front();
+        case Event::DeliverDelayed:
+            if (!this->delayed.empty()) {
+                this->apply(*this->delayed.front());
+                this->delayed.pop_front();
             }
             break;
         case Event::BreakSession:
@@ -128,8 +128,8 @@
             break;
         case Event::RestartAgent:
             this->map = {};
-            ++this->life;
-            this->late.clear();
+            ++this->incarnation;
+            this->delayed.clear();
             this->stream.clear();
             this->coordinator->closed(this->session);
             this->connect();
@@ -144,23 +144,22 @@
         case Event::Count:
             break;
         }
-        this->perform();
+        this->collectActions();
         this->check();
     }
 
-    /** Lets everything under way arrive, late messages last, and checks that the agent then has all that was committed.
-     */
+    /** Delivers all messages in flight, delayed ones last, and checks that the agent then has all committed changes. */
     void settle()
     {
         for (int round = 0; round < 12; ++round) {
-            this->happen(Event::Tick);
-            this->happen(Event::ConfirmLeader);
+            this->handle(Event::Tick);
+            this->handle(Event::ConfirmLeader);
             while (!this->stream.empty()) {
-                this->happen(Event::Deliver);
+                this->handle(Event::Deliver);
             }
         }
-        while (!this->late.empty()) {
-            this->happen(Event::DeliverLate);
+        while (!this->delayed.empty()) {
+            this->handle(Event::DeliverDelayed);
         }
         this->require(this->map.routes.revision() == this->state->tables().routes().revision(),
                       "the newest routes never reach the agent");
@@ -168,17 +167,17 @@
         this->require(this->map.failureDomainsOut.size() == out.size(), "a mark never reaches the agent");
     }
 
-    std::optional<std::string> broken;
+    std::optional<std::string> violation;
 
 private:
     void require(bool holds, const char *what)
     {
-        if (!holds && !this->broken) {
-            this->broken = what;
+        if (!holds && !this->violation) {
+            this->violation = what;
         }
     }
 
-    /** Makes a replica the leader that has its state from a snapshot. */
+    /** Makes a new leader of a replica whose state is restored from a snapshot. */
     void lead()
     {
         const std::string saved = this->state ? this->state->snapshot() : std::string();
@@ -193,11 +192,11 @@
 
     void connect()
     {
-        this->late.insert(this->late.end(), this->stream.begin(), this->stream.end());
+        this->delayed.insert(this->delayed.end(), this->stream.begin(), this->stream.end());
         this->stream.clear();
         wire::Hello hello;
         hello.set_agent("agent");
-        hello.set_incarnation(std::to_string(this->life));
+        hello.set_incarnation(std::to_string(this->incarnation));
         *hello.mutable_seen() = this->map.version;
         this->coordinator->opened(++this->session, hello, this->now);
     }
@@ -225,7 +224,7 @@
         }
         addWorkspaces(change);
         this->commit(command);
-        this->known[table.revision()] = contentOf(this->state->tables().routes());
+        this->expectedContent[table.revision()] = contentOf(this->state->tables().routes());
     }
 
     void mark()
@@ -246,7 +245,7 @@
         this->coordinator->applied(this->state->apply(version, command));
     }
 
-    void perform()
+    void collectActions()
     {
         for (const control::Action &action : this->coordinator->takeActions()) {
             if (const auto *send = std::get_if<control::SendAction>(&action)) {
@@ -275,13 +274,13 @@
     void apply(const wire::ControlMessage &message)
     {
         wire::StateUpdate update = message.update();
-        if (!message.has_update() || (this->without == Without::FullState && update.full())) {
+        if (!message.has_update() || (this->disabledGuard == DisabledGuard::FullState && update.full())) {
             return;
         }
-        if (this->without == Without::OlderStateCheck) {
+        if (this->disabledGuard == DisabledGuard::OlderStateCheck) {
             this->map.version = {};
         }
-        if (this->without == Without::Removals) {
+        if (this->disabledGuard == DisabledGuard::Removals) {
             update.mutable_table()->mutable_routes_change()->clear_removed_routes();
             update.mutable_table()->mutable_routes_change()->clear_removed_workspaces();
         }
@@ -293,7 +292,7 @@
     void check()
     {
         if (this->map.routes.revision() != 0) {
-            this->require(contentOf(this->map.routes) == this->known[this->map.routes.revision()],
+            this->require(contentOf(this->map.routes) == this->expectedContent[this->map.routes.revision()],
                           "the agent has other routes than were put under that revision");
         }
         const wire::InForceReport report = this->coordinator->inForce(this->state->visibleVersion());
@@ -303,79 +302,79 @@
         }
     }
 
-    const Without without;
+    const DisabledGuard disabledGuard;
     BootTime now{100s};
     std::unique_ptr<control::State> state;
     std::unique_ptr<control::Coordinator> coordinator;
     agent::RouteMap map;
     std::deque<Message> stream;
     /** Messages of sessions that have ended. */
-    std::deque<Message> late;
-    std::map<std::uint64_t, std::map<std::string, std::string>> known;
+    std::deque<Message> delayed;
+    std::map<std::uint64_t, std::map<std::string, std::string>> expectedContent;
     std::uint64_t nextRevision = 1;
     std::uint64_t term = 0;
     std::uint64_t index = 0;
     control::SessionId session = 0;
-    unsigned life = 0;
+    unsigned incarnation = 0;
     unsigned replicas = 0;
     bool confirming = false;
 };
 
 using Sequence = std::vector<Event>;
 
-std::optional<std::string> play(const Sequence &events, Without without)
+std::optional<std::string> runSequence(const Sequence &events, DisabledGuard disabledGuard)
 {
-    World world(without);
+    World world(disabledGuard);
     for (const Event event : events) {
-        world.happen(event);
+        world.handle(event);
     }
     world.settle();
-    return world.broken;
+    return world.violation;
 }
 
-/** Plays every sequence of @p depth events. @return what broke first */
-std::optional<std::string> explore(unsigned depth, Without without, std::size_t &played)
+/** Runs every sequence of @p depth events. @return the first violation */
+std::optional<std::string> explore(unsigned depth, DisabledGuard disabledGuard, std::size_t &sequenceCount)
 {
     Sequence events(depth, Event::PatchRoutes);
     while (true) {
-        ++played;
-        if (auto broken = play(events, without)) {
-            return broken;
+        ++sequenceCount;
+        if (auto violation = runSequence(events, disabledGuard)) {
+            return violation;
         }
-        std::size_t place = 0;
-        while (place < depth && static_cast<unsigned>(events[place]) + 1 == EventCount) {
-            events[place++] = Event::PatchRoutes;
+        std::size_t position = 0;
+        while (position < depth && static_cast<unsigned>(events[position]) + 1 == EventCount) {
+            events[position++] = Event::PatchRoutes;
         }
-        if (place == depth) {
+        if (position == depth) {
             return std::nullopt;
         }
-        events[place] = static_cast<Event>(static_cast<unsigned>(events[place]) + 1);
+        events[position] = static_cast<Event>(static_cast<unsigned>(events[position]) + 1);
     }
 }
 
-std::optional<std::string> playSeed(std::uint64_t seed, std::size_t length)
+std::optional<std::string> runSeed(std::uint64_t seed, std::size_t length)
 {
     pcg32 random(seed);
     Sequence events;
     for (std::size_t step = 0; step < length; ++step) {
         events.push_back(static_cast<Event>(random(EventCount)));
     }
-    return play(events, Without::Nothing);
+    return runSequence(events, DisabledGuard::None);
 }
 
 } // namespace
 
-// Guards against a change of the table that is lost, reverted or wrongly reported in force.
+// Guards against a change of the table that is lost, reverted or wrongly reported as in force.
 TEST_CASE("table changes reach an agent whatever the order of changes, sessions and leaders")
 {
     constexpr unsigned Depth = 4;
-    std::size_t played = 0;
-    const std::optional<std::string> broken = explore(Depth, Without::Nothing, played);
-    CHECK(broken.value_or("nothing") == "nothing");
-    std::printf("  %zu orders of %u events played\n", played, Depth);
+    std::size_t sequenceCount = 0;
+    const std::optional<std::string> violation = explore(Depth, DisabledGuard::None, sequenceCount);
+    CHECK(violation.value_or("nothing") == "nothing");
+    std::printf("  %zu orders of %u events played\n", sequenceCount, Depth);
 }
 
-// Guards against an agent that restarted and counts as having what its process before had in force.
+// Guards against a restarted agent that is reported with the versions that its predecessor had in force.
 TEST_CASE("a restarted agent counts as in force only once it has the state again")
 {
     const Sequence events{Event::RestartAgent,
@@ -384,25 +383,26 @@
                           Event::ConfirmLeader,
                           Event::Deliver,
                           Event::RestartAgent};
-    CHECK(play(events, Without::Nothing).value_or("nothing") == "nothing");
+    CHECK(runSequence(events, DisabledGuard::None).value_or("nothing") == "nothing");
 }
 
-// Guards against the same failures in sequences longer than can be played in every order.
+// Guards against the same failures in sequences that are too long to run in every order.
 TEST_CASE("table changes reach an agent in long sequences of events, by seed")
 {
     constexpr std::uint64_t Seeds = 1500;
     constexpr std::size_t Length = 40;
     for (std::uint64_t seed = 1; seed <= Seeds; ++seed) {
-        const std::optional<std::string> broken = playSeed(seed, Length);
+        const std::optional<std::string> violation = runSeed(seed, Length);
         CAPTURE(seed);
-        REQUIRE(broken.value_or("nothing") == "nothing");
+        REQUIRE(violation.value_or("nothing") == "nothing");
     }
 }
 
-// Guards against an explorer that can't fail: each guard taken out must be found.
-TEST_CASE("the exploration of table changes finds each guard that is taken out")
+// Guards against an exploration that can't fail: each disabled guard must be found.
+TEST_CASE("the exploration of table changes finds each guard that is disabled")
 {
-    const Without without = GENERATE(Without::OlderStateCheck, Without::FullState, Without::Removals);
-    std::size_t played = 0;
-    CHECK(explore(4, without, played).has_value());
+    const DisabledGuard disabledGuard =
+        GENERATE(DisabledGuard::OlderStateCheck, DisabledGuard::FullState, DisabledGuard::Removals);
+    std::size_t sequenceCount = 0;
+    CHECK(explore(4, disabledGuard, sequenceCount).has_value());
 }
