--- a/tests/CoordinatorGuardTest.cpp
+++ b/tests/CoordinatorGuardTest.cpp
@@ -213,7 +213,7 @@
 
 // If the clock of the agent's VM runs slow, the agent uses its lease longer than the leader counts without a margin,
 // and a key has two owners for those milliseconds.
-TEST_CASE("control: slices are taken from an unresponsive agent only after its lease and the drift margin")
+TEST_CASE("control: slices are taken from a silent agent only after its lease and the drift margin")
 {
     LeaderFixture fixture;
     fixture.renew(1);
@@ -225,7 +225,7 @@
 
 // A frozen agent resumes between the decision to take its slices and the commit, and its heartbeat is answered at once.
 // With a lease from that answer it would serve beside the new owner until it receives the commit.
-TEST_CASE("control: an agent that resumes while its slices are being taken gets no lease before the update")
+TEST_CASE("control: an agent that returns while its slices are being taken gets no lease before the update")
 {
     LeaderFixture fixture;
     fixture.advance(Lease + Drift + 10ms, {2});
@@ -241,7 +241,7 @@
 
 // A VM is replaced under its old name while the old one is frozen. Both would serve the same keys if the new process
 // got a lease at once.
-TEST_CASE("control: a new process under an agent's name gets no lease before its predecessor's has ended")
+TEST_CASE("control: another process under an agent's name gets no lease before the one of its predecessor has ended")
 {
     LeaderFixture fixture;
     fixture.renew(1);
@@ -258,7 +258,7 @@
 
 // All agents are killed and restart at their addresses while their upstreams keep running. Every key would stay
 // unserved for a whole lease, although the reuse of the address proves that the predecessor has exited.
-TEST_CASE("control: where address reuse proves the predecessor's exit, only a new address waits for its lease")
+TEST_CASE("control: where an address proves the end of the process before it, only one at a new address waits")
 {
     control::CoordinatorSettings settings;
     settings.addressReuseProvesExit = true;
--- a/tests/CoordinatorTest.cpp
+++ b/tests/CoordinatorTest.cpp
@@ -74,7 +74,7 @@
 
 // The leader's VM fails. Agents that find the next leader before their leases end serve without a gap. A new leader
 // that declared all agents lost would move every key.
-TEST_CASE("control: a change of leader moves nothing and leaves all keys served")
+TEST_CASE("control: a change of leader moves nothing and leads to no gap in service")
 {
     ControlSimulation simulation(3, 4);
     runUntilServed(simulation);
--- a/tests/SliceSplitsTest.cpp
+++ b/tests/SliceSplitsTest.cpp
@@ -100,7 +100,7 @@
     }
 }
 
-TEST_CASE("loads count once enough was measured, and hot keys expire when they are no longer reported")
+TEST_CASE("loads count once enough was measured, and hot keys expire when nobody reports them")
 {
     const SliceMap map = ownedSlices();
     LoadTracker loads;
@@ -126,7 +126,7 @@
 
 // One upstream refuses every second request while adjacent keys are busy for five seconds, although other upstreams
 // have free slots. With too much smoothing the load had counted only after ten reports, one per second.
-TEST_CASE("loads: most of the load of a range that becomes busy counts within three reports")
+TEST_CASE("loads: most of what a range that becomes busy carries counts within three reports")
 {
     const SliceMap map = ownedSlices();
     LoadTracker loads;
@@ -157,7 +157,7 @@
     REQUIRE(slices.front().load > 0.55);
 }
 
-TEST_CASE("splits: slices of numbered keys are split only between keys, down to single keys")
+TEST_CASE("splits: slices of numbered keys are split at whole keys, down to single ones")
 {
     constexpr std::uint64_t Alignment = std::uint64_t{1} << 48U;
     SliceMap map = SliceMap::uniform(64, Alignment);
