--- a/include/control/AgentRegistry.h
+++ b/include/control/AgentRegistry.h
@@ -25,7 +25,7 @@
      * Upper bound for the end of any lease that the agent may hold. Counted from the arrival of a renewal, which is
      * after the agent sent it, plus the drift margin.
      */
-    BootTime leaseEnd;
+    BootTime leaseUntil;
     /** The agent is presumed alive until this moment and is not declared lost before. */
     BootTime presumedAliveUntil;
     /** Another process under this name may still hold a lease; no lease is granted before this moment. */
@@ -61,13 +61,13 @@
 /** @return true while the agent may hold a lease */
 inline bool mayHoldLease(const AgentRecord &agent, BootTime now)
 {
-    return now < agent.leaseEnd;
+    return now < agent.leaseUntil;
 }
 
 /** @return true once the agent can hold no lease and no message has come from it for a whole lease */
 inline bool isLost(const AgentRecord &agent, BootTime now)
 {
-    return now >= agent.leaseEnd && now >= agent.presumedAliveUntil;
+    return now >= agent.leaseUntil && now >= agent.presumedAliveUntil;
 }
 
 /**
--- a/include/control/Coordinator.h
+++ b/include/control/Coordinator.h
@@ -147,13 +147,13 @@
     void proposeUpstream(const wire::UpstreamInfo &upstream, const std::string &previousAgent);
     void reconcile(AgentRecord &agent, BootTime now);
     bool canMoveToAgent(const wire::UpstreamInfo &registered, const AgentRecord &agent, BootTime now) const;
-    /** @return whether @p later is a process that started after the upstream and listens at its address */
-    static bool replacesUpstream(const wire::UpstreamInfo &later, const wire::UpstreamInfo &upstream);
+    /** @return whether @p candidate is a process that started after the upstream and listens at its address */
+    static bool replacesUpstream(const wire::UpstreamInfo &candidate, const wire::UpstreamInfo &upstream);
     void retireUnannounced(AgentRecord &agent, BootTime now);
     void retireLost(BootTime now);
     std::chrono::nanoseconds maxWorkTime(const wire::UpstreamInfo &upstream) const;
 
-    void planAll(BootTime now);
+    void planServices(BootTime now);
     void planService(const std::string &service, const SliceMap &map, BootTime now);
     std::vector<Member> membersOf(const std::string &service, BootTime now);
     /** @return the weight by which an upstream may own slices now; 0 when it may not */
@@ -185,7 +185,7 @@
     bool roundInFlight = false;
     AgentRegistry agentRegistry;
     MoveTracker moveTracker;
-    LoadTracker loads;
+    LoadTracker loadTracker;
     LimitAllocator limitAllocator;
     Round nextRound;
     Round currentRound;
--- a/include/control/MoveTracker.h
+++ b/include/control/MoveTracker.h
@@ -52,7 +52,7 @@
     /** @return the number of moves from or to each upstream */
     std::unordered_map<std::uint32_t, std::size_t> countByUpstream() const;
     /** @return first hashes of a service's slices that are being moved */
-    std::set<std::uint64_t> begins(const std::string &service) const;
+    std::set<std::uint64_t> movingSlices(const std::string &service) const;
 };
 
 } // namespace bergamotweir::control
--- a/include/control/SliceMap.h
+++ b/include/control/SliceMap.h
@@ -33,7 +33,7 @@
 
     /**
      * @param count at least 1
-     * @param grain every slice begins at a multiple of it
+     * @param alignment every slice begins at a multiple of it
      * @return that many slices without an owner, of equal width rounded to the alignment
      */
     static SliceMap uniform(std::size_t count, std::uint64_t alignment = 1);
--- a/include/control/SliceSplits.h
+++ b/include/control/SliceSplits.h
@@ -32,7 +32,7 @@
  * @param wanted number of slices to reach, bounded by MaxSlices
  * @param hot hashes of hot keys, ascending
  * @param moving first hashes of slices that are being moved; they are neither split nor merged
- * @param grain slices begin at multiples of it
+ * @param alignment slices begin at multiples of it
  */
 SliceSplits planSplits(const SliceMap &map,
                        std::size_t wanted,
--- a/src/control/Coordinator.cpp
+++ b/src/control/Coordinator.cpp
@@ -39,8 +39,8 @@
         agent.failureDomain = upstream.failure_domain();
         agent.peerAddress = upstream.peer_address();
         agent.incarnation = upstream.agent_incarnation();
-        agent.leaseEnd = now + this->settings.lease + this->settings.drift;
-        agent.presumedAliveUntil = agent.leaseEnd + this->settings.takeoverGrace;
+        agent.leaseUntil = now + this->settings.lease + this->settings.drift;
+        agent.presumedAliveUntil = agent.leaseUntil + this->settings.takeoverGrace;
     }
 }
 
@@ -55,7 +55,7 @@
     this->roundInFlight = false;
     this->agentRegistry.clear();
     this->moveTracker.moves.clear();
-    this->loads.clear();
+    this->loadTracker.clear();
     this->nextRound = {};
     this->currentRound = {};
     this->proposals.clear();
@@ -85,11 +85,11 @@
         } else if (!agent.incarnation.empty() && !isKnown(this->limitAllocator, incarnationIdOf(agent))) {
             agent.hasUnknownPredecessor = true;
         }
-        agent.leaseBlockedUntil = predecessorExited ? now : agent.leaseEnd;
+        agent.leaseBlockedUntil = predecessorExited ? now : agent.leaseUntil;
         for (const std::uint32_t id : this->state.upstreams().ofAgent(agent.name)) {
             const auto work = movedVm ? this->maxWorkTime(*this->state.upstreams().find(id)) : BootClock::duration(0);
             agent.leaseBlockedUntil =
-                predecessorExited ? now : std::max(agent.leaseBlockedUntil, agent.leaseEnd + work);
+                predecessorExited ? now : std::max(agent.leaseBlockedUntil, agent.leaseUntil + work);
         }
     }
     this->agentRegistry.attachSession(agent, session);
@@ -124,7 +124,7 @@
     agent->presumedAliveUntil = std::max(agent->presumedAliveUntil, now + this->settings.lease);
     switch (message.body_case()) {
     case wire::AgentMessage::kRenew:
-        this->loads.report(message.renew(), now);
+        this->loadTracker.report(message.renew(), now);
         recordDemand(this->limitAllocator, incarnationIdOf(*agent), message.renew(), now);
         if (isBefore(agent->appliedVersion, message.renew().in_force())) {
             agent->appliedVersion = message.renew().in_force();
@@ -277,7 +277,7 @@
         }
     }
     this->forceMovesOfLost(now);
-    this->planAll(now);
+    this->planServices(now);
     this->proposeReleased(now);
 }
 
--- a/src/control/CoordinatorAgents.cpp
+++ b/src/control/CoordinatorAgents.cpp
@@ -6,10 +6,10 @@
 
 namespace bergamotweir::control {
 
-bool Coordinator::replacesUpstream(const wire::UpstreamInfo &later, const wire::UpstreamInfo &upstream)
+bool Coordinator::replacesUpstream(const wire::UpstreamInfo &candidate, const wire::UpstreamInfo &upstream)
 {
-    return !upstream.address().empty() && later.address() == upstream.address()
-           && later.started_unix_ms() > upstream.started_unix_ms();
+    return !upstream.address().empty() && candidate.address() == upstream.address()
+           && candidate.started_unix_ms() > upstream.started_unix_ms();
 }
 
 void Coordinator::renew(AgentRecord &agent, const Heartbeat &heartbeat, BootTime now)
@@ -27,7 +27,7 @@
                 this->servicePlans[info.service()].dirty = true;
             }
         }
-        agent.leaseEnd = std::max(agent.leaseEnd, end);
+        agent.leaseUntil = std::max(agent.leaseUntil, end);
     }
     // Only registered agents get shares, because a later leader must know which agents may use some.
     if (!this->state.upstreams().ofAgent(agent.name).empty()) {
@@ -97,7 +97,7 @@
     }
     // An upstream that is taken over from another agent keeps all its slices.
     const AgentRecord *const other = this->agentRegistry.find(registered.agent());
-    return other == nullptr || (isLost(*other, now) && now >= other->leaseEnd + this->maxWorkTime(registered));
+    return other == nullptr || (isLost(*other, now) && now >= other->leaseUntil + this->maxWorkTime(registered));
 }
 
 void Coordinator::reconcile(AgentRecord &agent, BootTime now)
--- a/src/control/CoordinatorMoves.cpp
+++ b/src/control/CoordinatorMoves.cpp
@@ -105,10 +105,10 @@
     const wire::UpstreamInfo *const upstream = this->state.upstreams().find(owner);
     assert(upstream != nullptr);
     const AgentRecord *const agent = this->agentRegistry.find(upstream->agent());
-    return agent == nullptr || (isLost(*agent, now) && now >= agent->leaseEnd + this->maxWorkTime(*upstream));
+    return agent == nullptr || (isLost(*agent, now) && now >= agent->leaseUntil + this->maxWorkTime(*upstream));
 }
 
-void Coordinator::planAll(BootTime now)
+void Coordinator::planServices(BootTime now)
 {
     if (!this->leading) {
         return;
@@ -122,7 +122,7 @@
 
 std::vector<Member> Coordinator::membersOf(const std::string &service, BootTime now)
 {
-    const std::unordered_map<std::uint32_t, double> relativeSpeeds = this->loads.relativeSpeeds(service, now);
+    const std::unordered_map<std::uint32_t, double> relativeSpeeds = this->loadTracker.relativeSpeeds(service, now);
     std::vector<Member> members;
     const std::set<std::uint32_t> &ids = this->state.upstreams().ofService(service);
     members.reserve(ids.size());
@@ -175,8 +175,8 @@
     const table::ServicePolicy policy = this->state.tables().table().service(service);
     const SliceSplits splits = planSplits(map,
                                           memberCount * this->settings.slicesPerUpstream,
-                                          this->loads.hotKeys(service, MinHotKeyShare * targetShare, now),
-                                          this->moveTracker.begins(service),
+                                          this->loadTracker.hotKeys(service, MinHotKeyShare * targetShare, now),
+                                          this->moveTracker.movingSlices(service),
                                           policy.numberedKeys ? NumberedKeyWidth : 1);
     if (splits.empty()) {
         return false;
@@ -214,7 +214,7 @@
         }
         slices.push_back(slice);
     }
-    this->loads.distributeLoad(service, map, slices);
+    this->loadTracker.distributeLoad(service, map, slices);
     if (members.empty()) {
         // Out of service means no new work, even when no other upstream can take the keys.
         std::vector<SliceMove> moves;
@@ -240,16 +240,18 @@
 
 std::uint32_t Coordinator::successorOf(std::uint32_t ended, BootTime now) const
 {
-    const wire::UpstreamInfo *const before = this->state.upstreams().find(ended);
-    const AgentRecord *const agent = before == nullptr ? nullptr : this->agentRegistry.find(before->agent());
+    const wire::UpstreamInfo *const endedUpstream = this->state.upstreams().find(ended);
+    const AgentRecord *const agent =
+        endedUpstream == nullptr ? nullptr : this->agentRegistry.find(endedUpstream->agent());
     if (agent == nullptr || !agent->hasFullState || !this->settings.addressReuseProvesExit) {
         return 0;
     }
     for (const auto &[name, announced] : agent->announced) {
-        const wire::UpstreamInfo *const later = this->state.upstreams().find(name.first, name.second);
-        const bool matches = later != nullptr && later->service() == before->service() && later->agent() == agent->name;
-        if (matches && replacesUpstream(*later, *before) && this->weightOf(*later, now) > 0) {
-            return later->id();
+        const wire::UpstreamInfo *const candidate = this->state.upstreams().find(name.first, name.second);
+        const bool matches = candidate != nullptr && candidate->service() == endedUpstream->service()
+                             && candidate->agent() == agent->name;
+        if (matches && replacesUpstream(*candidate, *endedUpstream) && this->weightOf(*candidate, now) > 0) {
+            return candidate->id();
         }
     }
     return 0;
--- a/src/control/LoadTracker.cpp
+++ b/src/control/LoadTracker.cpp
@@ -23,7 +23,7 @@
  * because work times vary between requests.
  */
 constexpr double HalfWeightAnswers = 60;
-/** Bounds of an upstream's target load, as multiples of an equal share, whatever speed was measured. */
+/** Bounds of an upstream's relative speed, and so of its target load as a multiple of an equal share. */
 constexpr double MinRelativeSpeed = 0.3;
 constexpr double MaxRelativeSpeed = 3;
 
--- a/src/control/MoveTracker.cpp
+++ b/src/control/MoveTracker.cpp
@@ -18,7 +18,7 @@
     return counts;
 }
 
-std::set<std::uint64_t> MoveTracker::begins(const std::string &service) const
+std::set<std::uint64_t> MoveTracker::movingSlices(const std::string &service) const
 {
     std::set<std::uint64_t> found;
     for (auto move = this->moves.lower_bound({service, 0}); move != this->moves.end(); ++move) {
--- a/tests/ControlSimulation.cpp
+++ b/tests/ControlSimulation.cpp
@@ -20,7 +20,7 @@
 
 } // namespace
 
-ControlSimulation::ControlSimulation(std::uint64_t seed, std::size_t agentCount, std::optional<bool> checks)
+ControlSimulation::ControlSimulation(std::uint64_t seed, std::size_t agentCount, std::optional<bool> checksGrants)
     : agents(agentCount)
     , random(seed)
 {
@@ -37,7 +37,7 @@
     this->lastServedAt.assign(SampledKeys, this->now);
     for (std::size_t number = 0; number < agentCount; ++number) {
         FakeAgent &agent = this->agents[number];
-        agent.setUp(number, checks.value_or(number % 2 == 0));
+        agent.setUp(number, checksGrants.value_or(number % 2 == 0));
         agent.start(this->now);
     }
 }
@@ -130,7 +130,7 @@
 
 void ControlSimulation::announce(FakeAgent &agent)
 {
-    this->sendUp(agent, agent.announcement());
+    this->sendToLeader(agent, agent.announcement());
 }
 
 void ControlSimulation::propose(const wire::Command &command)
@@ -235,14 +235,14 @@
         if (message.dueAt > this->now) {
             this->network.push_back(std::move(message));
         } else if (message.toLeader) {
-            this->deliverUp(message);
+            this->deliverToLeader(message);
         } else {
-            this->deliverDown(message);
+            this->deliverToAgent(message);
         }
     }
 }
 
-void ControlSimulation::deliverUp(const Message &message)
+void ControlSimulation::deliverToLeader(const Message &message)
 {
     if (!this->agents[message.agent].reachable) {
         this->network.push_back(message);
@@ -258,7 +258,7 @@
     this->recordEvent();
 }
 
-void ControlSimulation::deliverDown(const Message &message)
+void ControlSimulation::deliverToAgent(const Message &message)
 {
     const auto found = std::find_if(this->agents.begin(), this->agents.end(), [&](const FakeAgent &agent) {
         return agent.session == message.session;
@@ -277,12 +277,12 @@
         return;
     }
     for (wire::AgentMessage &answer : agent.receive(*message.toAgent, this->now)) {
-        this->sendUp(agent, std::move(answer));
+        this->sendToLeader(agent, std::move(answer));
     }
     this->recordEvent();
 }
 
-void ControlSimulation::sendUp(FakeAgent &agent, wire::AgentMessage message)
+void ControlSimulation::sendToLeader(FakeAgent &agent, wire::AgentMessage message)
 {
     if (agent.session != 0 && agent.running) {
         const auto number = static_cast<std::size_t>(&agent - this->agents.data());
@@ -306,11 +306,11 @@
         const bool stale = this->leaders.size() > 1 && this->random(4) == 0;
         wire::AgentMessage hello =
             agent.connect(++this->lastSession, this->leaders.size() - (stale ? 2 : 1), this->now);
-        this->sendUp(agent, std::move(hello));
+        this->sendToLeader(agent, std::move(hello));
     }
     this->work(number);
     for (wire::AgentMessage &message : agent.step(this->now)) {
-        this->sendUp(agent, std::move(message));
+        this->sendToLeader(agent, std::move(message));
     }
 }
 
--- a/tests/ControlSimulation.h
+++ b/tests/ControlSimulation.h
@@ -46,7 +46,7 @@
     static constexpr std::chrono::milliseconds Timeout{300};
 
     /** @param agentCount number of agents @param checks whether upstreams check grants; by default every second does */
-    ControlSimulation(std::uint64_t seed, std::size_t agentCount, std::optional<bool> checks = {});
+    ControlSimulation(std::uint64_t seed, std::size_t agentCount, std::optional<bool> checksGrants = {});
 
     /** Advances time, and injects @p fault at the @p atEvent -th event from now. */
     void run(std::chrono::milliseconds time, Fault fault = Fault::None, std::uint64_t atEvent = 0);
@@ -115,10 +115,10 @@
     void commit(std::size_t leader, std::uint64_t proposal, const wire::Command &command);
     void endPending();
     void deliver();
-    void deliverUp(const Message &message);
-    void deliverDown(const Message &message);
+    void deliverToLeader(const Message &message);
+    void deliverToAgent(const Message &message);
     void stepAgent(std::size_t number);
-    void sendUp(FakeAgent &agent, wire::AgentMessage message);
+    void sendToLeader(FakeAgent &agent, wire::AgentMessage message);
     void work(std::size_t number);
     void announce(FakeAgent &agent);
     void changeLeader();
--- a/tests/LoadTrackerTest.cpp
+++ b/tests/LoadTrackerTest.cpp
@@ -56,7 +56,7 @@
  * rates the slow ones refuse requests while the fast ones have free slots: at 300 requests per second they would need
  * 1.07 times their slots. With loads by measured speed, the most loaded one needs 0.71 of its slots.
  */
-TEST_CASE("loads: load follows the speed of upstreams, so that no slow one exceeds its slots while others are free")
+TEST_CASE("loads: keys follow the speed of upstreams, so that no slow one exceeds its slots while others are free")
 {
     LoadTracker loads;
     std::vector<Member> equal;
--- a/tests/TableChangeExplorerTest.cpp
+++ b/tests/TableChangeExplorerTest.cpp
@@ -109,7 +109,7 @@
             this->coordinator->tick(this->now);
             break;
         case Event::ConfirmLeader:
-            if (std::exchange(this->confirming, false)) {
+            if (std::exchange(this->confirmationPending, false)) {
                 this->coordinator->confirmed(true, this->now);
             }
             break;
@@ -127,7 +127,7 @@
             this->connect();
             break;
         case Event::RestartAgent:
-            this->map = {};
+            this->routeMap = {};
             ++this->incarnation;
             this->delayed.clear();
             this->stream.clear();
@@ -161,10 +161,10 @@
         while (!this->delayed.empty()) {
             this->handle(Event::DeliverDelayed);
         }
-        this->require(this->map.routes.revision() == this->state->tables().routes().revision(),
+        this->require(this->routeMap.routes.revision() == this->state->tables().routes().revision(),
                       "the newest routes never reach the agent");
         const auto &out = this->state->tables().marks().failureDomainsOut;
-        this->require(this->map.failureDomainsOut.size() == out.size(), "a mark never reaches the agent");
+        this->require(this->routeMap.failureDomainsOut.size() == out.size(), "a mark never reaches the agent");
     }
 
     std::optional<std::string> violation;
@@ -186,7 +186,7 @@
         this->state->restore(saved);
         this->coordinator = std::make_unique<control::Coordinator>(control::CoordinatorSettings{}, *this->state);
         ++this->term;
-        this->confirming = false;
+        this->confirmationPending = false;
         this->coordinator->lead(this->now);
     }
 
@@ -197,7 +197,7 @@
         wire::Hello hello;
         hello.set_agent("agent");
         hello.set_incarnation(std::to_string(this->incarnation));
-        *hello.mutable_seen() = this->map.version;
+        *hello.mutable_seen() = this->routeMap.version;
         this->coordinator->opened(++this->session, hello, this->now);
     }
 
@@ -253,7 +253,7 @@
                     this->stream.push_back(send->message);
                 }
             } else if (std::holds_alternative<control::ConfirmAction>(action)) {
-                this->confirming = true;
+                this->confirmationPending = true;
             }
         }
     }
@@ -267,7 +267,7 @@
         this->stream.pop_front();
         this->apply(*message);
         wire::AgentMessage renewal;
-        *renewal.mutable_renew()->mutable_in_force() = this->map.version;
+        *renewal.mutable_renew()->mutable_in_force() = this->routeMap.version;
         this->coordinator->received(this->session, renewal, this->now);
     }
 
@@ -278,26 +278,26 @@
             return;
         }
         if (this->disabledGuard == DisabledGuard::OlderStateCheck) {
-            this->map.version = {};
+            this->routeMap.version = {};
         }
         if (this->disabledGuard == DisabledGuard::Removals) {
             update.mutable_table()->mutable_routes_change()->clear_removed_routes();
             update.mutable_table()->mutable_routes_change()->clear_removed_workspaces();
         }
-        const std::uint64_t before = this->map.routes.revision();
-        agent::apply(this->map, update);
-        this->require(this->map.routes.revision() >= before, "the agent goes back to older routes");
+        const std::uint64_t before = this->routeMap.routes.revision();
+        agent::apply(this->routeMap, update);
+        this->require(this->routeMap.routes.revision() >= before, "the agent goes back to older routes");
     }
 
     void check()
     {
-        if (this->map.routes.revision() != 0) {
-            this->require(contentOf(this->map.routes) == this->expectedContent[this->map.routes.revision()],
+        if (this->routeMap.routes.revision() != 0) {
+            this->require(contentOf(this->routeMap.routes) == this->expectedContent[this->routeMap.routes.revision()],
                           "the agent has other routes than were put under that revision");
         }
         const wire::InForceReport report = this->coordinator->inForce(this->state->visibleVersion());
         if (report.confirmed_size() > 0) {
-            this->require(this->map.routes.revision() == this->state->tables().routes().revision(),
+            this->require(this->routeMap.routes.revision() == this->state->tables().routes().revision(),
                           "a change counts as in force at an agent that lacks it");
         }
     }
@@ -306,7 +306,7 @@
     BootTime now{100s};
     std::unique_ptr<control::State> state;
     std::unique_ptr<control::Coordinator> coordinator;
-    agent::RouteMap map;
+    agent::RouteMap routeMap;
     std::deque<Message> stream;
     /** Messages of sessions that have ended. */
     std::deque<Message> delayed;
@@ -317,7 +317,7 @@
     control::SessionId session = 0;
     unsigned incarnation = 0;
     unsigned replicas = 0;
-    bool confirming = false;
+    bool confirmationPending = false;
 };
 
 using Sequence = std::vector<Event>;
