--- a/src/control/Coordinator.cpp
+++ b/src/control/Coordinator.cpp
@@ -77,8 +77,8 @@
     }
     if (agent.incarnation != hello.incarnation()) {
         // Two processes use one name: a VM was replaced, and the predecessor is frozen and may resume.
-        const bool movedVm = agent.peerAddress != hello.peer_address();
-        const bool predecessorExited = this->settings.addressReuseProvesExit && !movedVm;
+        const bool isAtNewAddress = agent.peerAddress != hello.peer_address();
+        const bool predecessorExited = this->settings.addressReuseProvesExit && !isAtNewAddress;
         if (predecessorExited) {
             transferShares(
                 this->limitAllocator, incarnationIdOf(agent), incarnationIdOf(agent.name, hello.incarnation()), now);
@@ -87,7 +87,8 @@
         }
         agent.leaseBlockedUntil = predecessorExited ? now : agent.leaseUntil;
         for (const std::uint32_t id : this->state.upstreams().ofAgent(agent.name)) {
-            const auto work = movedVm ? this->maxWorkTime(*this->state.upstreams().find(id)) : BootClock::duration(0);
+            const auto work =
+                isAtNewAddress ? this->maxWorkTime(*this->state.upstreams().find(id)) : BootClock::duration(0);
             agent.leaseBlockedUntil =
                 predecessorExited ? now : std::max(agent.leaseBlockedUntil, agent.leaseUntil + work);
         }
--- a/tests/ControlSimulation.h
+++ b/tests/ControlSimulation.h
@@ -45,7 +45,7 @@
     static constexpr std::chrono::milliseconds Step{5};
     static constexpr std::chrono::milliseconds Timeout{300};
 
-    /** @param agentCount number of agents @param checks whether upstreams check grants; by default every second does */
+    /** @param checksGrants whether upstreams check grants; by default every second one does */
     ControlSimulation(std::uint64_t seed, std::size_t agentCount, std::optional<bool> checksGrants = {});
 
     /** Advances time, and injects @p fault at the @p atEvent -th event from now. */
