--- a/include/control/ClaimStore.h
+++ b/include/control/ClaimStore.h
@@ -14,59 +14,67 @@
 namespace bergamotweir::control {
 
 /**
- * The Idempotency-Keys in use: who may run a request, and what came of it.
- * Owned by the replicated state; every method is deterministic. Bounded by count and by the bytes of kept answers.
+ * Records, for each Idempotency-Key in use, which attempt owns the request and the outcome of that attempt.
+ * Owned by the replicated state; every method is deterministic. Bounded by the number of claims and by the total size
+ * of the stored answers.
  *
- * Guards against a payment that runs twice. A caller that lost the answer sends the request again, perhaps through
- * another agent, after a move or under another leader; the claim is in the replicated log before the first dispatch,
- * so that whichever agent comes second finds it there.
+ * Guards against a payment that runs twice. A caller that lost the answer sends the request again, possibly through
+ * another agent, after a move or under another leader. The claim is committed to the replicated log before the first
+ * dispatch, so a second agent always finds it.
  */
 class ClaimStore
 {
 public:
-    /** Most claims kept; about 300 bytes each without an answer. */
+    /** Maximum number of claims; each takes about 300 bytes without an answer. */
     static constexpr std::size_t MaxClaims = 200000;
-    /** Most bytes of one kept answer; of a larger one only the status is kept. */
+    /** Maximum size of one stored answer in bytes; of a larger answer only the status is stored. */
     static constexpr std::size_t MaxAnswerBytes = 4096;
-    /** Most bytes of all kept answers together. */
+    /** Maximum total size of all stored answers in bytes. */
     static constexpr std::size_t MaxTotalBytes = std::size_t{64} * 1024 * 1024;
 
-    /** @param maxClaims bound on the number of claims; another than the default serves tests only */
+    /** @param maxClaims maximum number of claims; only tests pass a value other than the default */
     explicit ClaimStore(std::size_t maxClaims = MaxClaims);
 
-    /** Takes a claim, or tells why not. A resend of the attempt that owns the claim is granted again. */
+    /**
+     * Grants the claim to the request's attempt, or returns the verdict that explains why it is not granted.
+     * A resend by the attempt that owns the claim is granted again.
+     */
     wire::ClaimReply claim(const wire::ClaimRequest &request);
 
-    /** Records what came of the attempt that owns the claim; anything else is refused. The first outcome stays. */
+    /**
+     * Records the outcome of the attempt that owns the claim; an outcome of any other attempt is refused.
+     * A later outcome does not replace the first one.
+     */
     wire::OutcomeReply record(const wire::ClaimOutcome &outcome);
 
-    /** Drops claims taken before a moment. */
+    /** Removes the claims that were granted before @p before. */
     void expire(UnixTime before);
 
     std::size_t size() const;
 
-    /** @return when the oldest claim was taken, nothing when there is none */
+    /** @return when the oldest claim was granted; nothing when there are no claims */
     std::optional<UnixTime> oldest() const;
 
     /**
-     * Appends all claims to a serialised StateSnapshot that has none. They are by far the most of it, and are written
-     * straight from where they are: a copy of them first would hold up the leader's loop for longer than a lease.
+     * Appends all claims to a serialised StateSnapshot that contains none. Claims are by far the largest part of a
+     * snapshot, so they are serialised in place: copying them first would block the leader's loop for longer than a
+     * lease.
      */
     void appendTo(std::string &snapshot) const;
 
-    /** Replaces everything by the claims of a snapshot. */
+    /** Replaces all claims with those of a snapshot. */
     void restore(const wire::StateSnapshot &from);
 
 private:
     /** Service and Idempotency-Key. */
-    using Name = std::pair<std::string, std::string>;
+    using ClaimKey = std::pair<std::string, std::string>;
 
-    void erase(const Name &name);
+    void erase(const ClaimKey &key);
 
     std::size_t maxClaims;
     std::size_t answerBytes = 0;
-    std::map<Name, wire::ClaimRecord> claims;
-    std::set<std::pair<UnixTime, Name>> byTime;
+    std::map<ClaimKey, wire::ClaimRecord> claims;
+    std::set<std::pair<UnixTime, ClaimKey>> claimsByTime;
 };
 
 } // namespace bergamotweir::control
--- a/include/control/QuarantineStore.h
+++ b/include/control/QuarantineStore.h
@@ -14,46 +14,49 @@
 namespace bergamotweir::control {
 
 /**
- * Requests that were in progress when upstreams crashed, by fingerprint.
+ * Stores requests that were in progress when upstreams crashed, by fingerprint.
  * Owned by the replicated state; every method is deterministic.
  *
- * Guards against one request that crashes every upstream which runs it while its caller sends it again: after crashes
- * of two incarnations it is refused everywhere. Reports of one crash count once, however often they are sent.
+ * Guards against a request that its caller keeps resending and that crashes each upstream that runs it: after crashes
+ * of two incarnations it is refused everywhere. Repeated reports of the same crash are counted once.
  */
 class QuarantineStore
 {
 public:
-    /** Crashes of different incarnations that put a request into quarantine. */
+    /** Number of different upstream incarnations whose crashes put a request into quarantine. */
     static constexpr std::size_t CrashesToQuarantine = 2;
-    /** Most fingerprints kept; beyond it, the suspect seen longest ago makes room. */
+    /**
+     * Maximum number of fingerprints. Beyond it the suspect seen longest ago is evicted, suspects that are not in
+     * quarantine first.
+     */
     static constexpr std::size_t MaxSuspects = 4096;
 
-    /** Counts suspects of a crash. @return the fingerprints newly in quarantine */
-    std::vector<std::uint64_t> report(const wire::ReportCrash &crash);
+    /** Records the suspects of a crash. @return the fingerprints newly in quarantine */
+    std::vector<std::uint64_t> recordCrash(const wire::ReportCrash &crash);
 
-    /** Forgets what was last seen before a moment. @return the fingerprints that leave quarantine */
+    /** Removes the suspects last seen before @p before. @return the fingerprints released from quarantine */
     std::vector<std::uint64_t> expire(UnixTime before);
 
     /** @return all fingerprints in quarantine */
     std::vector<std::uint64_t> quarantined() const;
 
-    /** @return when the record seen longest ago was last seen, nothing when there is none */
+    /** @return the earliest time at which any suspect was last seen; nothing when there are no suspects */
     std::optional<UnixTime> oldest() const;
 
-    /** Adds everything to a snapshot. */
+    /** Adds all suspects to a snapshot. */
     void save(wire::StateSnapshot &to) const;
 
-    /** Replaces everything by a snapshot's. */
+    /** Replaces all suspects with those of a snapshot. */
     void restore(const wire::StateSnapshot &from);
 
 private:
     struct Suspect {
         std::set<std::string> incarnations;
-        UnixTime lastSeen;
-        bool quarantined = false;
+        UnixTime lastSeenAt;
+        bool isQuarantined = false;
     };
 
-    void makeRoom();
+    void evictOldest();
 
     std::map<std::uint64_t, Suspect> suspects;
 };
--- a/include/control/UpdateBatch.h
+++ b/include/control/UpdateBatch.h
@@ -6,28 +6,32 @@
 namespace bergamotweir::control {
 
 /**
- * Changes that agents have not been sent yet, merged into one update. Owned by the leader's Coordinator.
- * When hundreds of agents join at once, each registration is news for all of them; sent one by one the leader does
- * nothing else for seconds and is voted out. Merged, the number of messages depends on time and not on changes.
+ * Changes that have not been sent to the agents yet, merged into one update. Owned by the leader's Coordinator.
+ * When hundreds of agents join at once, each registration must be sent to all of them. Sent one by one, these messages
+ * occupy the leader for seconds, and it loses its leadership to an election. With merging, the number of messages
+ * depends on elapsed time and not on the number of changes.
  */
 struct UpdateBatch {
-    /** Least time between two updates to all agents; the first change after a quiet time goes out at once. */
+    /** Minimum time between two updates to all agents; the first change after an idle interval is sent at once. */
     static constexpr BootClock::duration MinInterval = std::chrono::milliseconds(50);
 
     wire::StateUpdate pending;
     bool empty = true;
-    /** True when nothing was sent for the gap. */
+    /** Whether nothing was sent for at least MinInterval. */
     bool isIdle = true;
     BootTime sentAt{};
 };
 
-/** Adds a committed change; changes must come in the order of their versions. */
+/** Adds a committed change; changes must be added in the order of their versions. */
 void add(UpdateBatch &batch, const wire::StateUpdate &update);
 
-/** @return whether an agent that hears something else first could act against a change that waits: slices moved */
+/**
+ * @return whether the pending changes include moves of slices. They must be sent before any other message to an agent,
+ *         which could otherwise act against them.
+ */
 bool movesSlices(const UpdateBatch &batch);
 
-/** @return the merged update; the batch is empty and not quiet afterwards */
+/** Empties the batch and marks it as not idle. @return the merged update */
 wire::StateUpdate take(UpdateBatch &batch, BootTime now);
 
 } // namespace bergamotweir::control
--- a/include/control/VersionOrder.h
+++ b/include/control/VersionOrder.h
@@ -6,7 +6,7 @@
 
 namespace bergamotweir::control {
 
-/** @return true when @p left is an earlier place in the replicated log than @p right */
+/** @return whether @p left is an earlier position in the replicated log than @p right */
 inline bool isBefore(const wire::Version &left, const wire::Version &right)
 {
     return std::tuple(left.term(), left.index()) < std::tuple(right.term(), right.index());
--- a/src/control/ClaimStore.cpp
+++ b/src/control/ClaimStore.cpp
@@ -21,9 +21,9 @@
         return verdict(wire::CLAIM_VERDICT_CONFLICT);
     }
     if (!record.has_outcome()) {
-        // The agent lost the answer to its claim and asks again before it dispatches anything.
-        const bool resend = record.request().attempt() == request.attempt();
-        return verdict(resend ? wire::CLAIM_VERDICT_GRANTED : wire::CLAIM_VERDICT_IN_PROGRESS);
+        // The agent lost the answer to its claim and sends the claim again before it dispatches the request.
+        const bool isResend = record.request().attempt() == request.attempt();
+        return verdict(isResend ? wire::CLAIM_VERDICT_GRANTED : wire::CLAIM_VERDICT_IN_PROGRESS);
     }
     if (record.outcome().unknown()) {
         return verdict(wire::CLAIM_VERDICT_UNKNOWN);
@@ -42,26 +42,26 @@
 
 wire::ClaimReply ClaimStore::claim(const wire::ClaimRequest &request)
 {
-    const Name name(request.service(), request.idempotency_key());
-    const auto found = this->claims.find(name);
+    const ClaimKey key(request.service(), request.idempotency_key());
+    const auto found = this->claims.find(key);
     if (found != this->claims.end()) {
         return answerFor(found->second, request);
     }
     if (this->claims.size() >= this->maxClaims) {
         return verdict(wire::CLAIM_VERDICT_FULL);
     }
-    *this->claims[name].mutable_request() = request;
-    this->byTime.emplace(fromUnixMillis(request.unix_ms()), name);
+    *this->claims[key].mutable_request() = request;
+    this->claimsByTime.emplace(fromUnixMillis(request.unix_ms()), key);
     return verdict(wire::CLAIM_VERDICT_GRANTED);
 }
 
 wire::OutcomeReply ClaimStore::record(const wire::ClaimOutcome &outcome)
 {
     wire::OutcomeReply reply;
-    const Name name(outcome.service(), outcome.idempotency_key());
-    const auto found = this->claims.find(name);
+    const ClaimKey key(outcome.service(), outcome.idempotency_key());
+    const auto found = this->claims.find(key);
     if (found == this->claims.end()) {
-        // A resend of a release finds nothing left to release: that is its first answer.
+        // The claim of a resent release no longer exists; the release gets the same answer as the first time.
         reply.set_recorded(outcome.released());
         return reply;
     }
@@ -74,7 +74,7 @@
         return reply;
     }
     if (outcome.released()) {
-        this->erase(name);
+        this->erase(key);
         return reply;
     }
     *record.mutable_outcome() = outcome;
@@ -89,9 +89,9 @@
 
 void ClaimStore::expire(UnixTime before)
 {
-    while (!this->byTime.empty() && this->byTime.begin()->first < before) {
-        const Name name = this->byTime.begin()->second;
-        this->erase(name);
+    while (!this->claimsByTime.empty() && this->claimsByTime.begin()->first < before) {
+        const ClaimKey key = this->claimsByTime.begin()->second;
+        this->erase(key);
     }
 }
 
@@ -102,7 +102,7 @@
 
 std::optional<UnixTime> ClaimStore::oldest() const
 {
-    return this->byTime.empty() ? std::nullopt : std::optional(this->byTime.begin()->first);
+    return this->claimsByTime.empty() ? std::nullopt : std::optional(this->claimsByTime.begin()->first);
 }
 
 void ClaimStore::appendTo(std::string &snapshot) const
@@ -110,15 +110,15 @@
     using google::protobuf::internal::WireFormatLite;
     constexpr auto Tag =
         WireFormatLite::MakeTag(wire::StateSnapshot::kClaimsFieldNumber, WireFormatLite::WIRETYPE_LENGTH_DELIMITED);
-    constexpr std::size_t FramePerClaim = 6;
+    constexpr std::size_t MaxFramingBytesPerClaim = 6;
     std::size_t size = snapshot.size();
-    for (const auto &[name, record] : this->claims) {
-        size += record.ByteSizeLong() + FramePerClaim;
+    for (const auto &[key, record] : this->claims) {
+        size += record.ByteSizeLong() + MaxFramingBytesPerClaim;
     }
     snapshot.reserve(size);
     google::protobuf::io::StringOutputStream bytes(&snapshot);
     google::protobuf::io::CodedOutputStream out(&bytes);
-    for (const auto &[name, record] : this->claims) {
+    for (const auto &[key, record] : this->claims) {
         out.WriteTag(Tag);
         out.WriteVarint32(static_cast<std::uint32_t>(record.GetCachedSize()));
         record.SerializeWithCachedSizes(&out);
@@ -128,21 +128,21 @@
 void ClaimStore::restore(const wire::StateSnapshot &from)
 {
     this->claims.clear();
-    this->byTime.clear();
+    this->claimsByTime.clear();
     this->answerBytes = 0;
     for (const wire::ClaimRecord &record : from.claims()) {
-        const Name name(record.request().service(), record.request().idempotency_key());
+        const ClaimKey key(record.request().service(), record.request().idempotency_key());
         this->claims.emplace(name, record);
-        this->byTime.emplace(fromUnixMillis(record.request().unix_ms()), name);
+        this->claimsByTime.emplace(fromUnixMillis(record.request().unix_ms()), key);
         this->answerBytes += record.outcome().body().size();
     }
 }
 
-void ClaimStore::erase(const Name &name)
+void ClaimStore::erase(const ClaimKey &key)
 {
-    const auto found = this->claims.find(name);
+    const auto found = this->claims.find(key);
     this->answerBytes -= found->second.outcome().body().size();
-    this->byTime.erase({fromUnixMillis(found->second.request().unix_ms()), name});
+    this->claimsByTime.erase({fromUnixMillis(found->second.request().unix_ms()), key});
     this->claims.erase(found);
 }
 
--- a/src/control/OperatorReads.cpp
+++ b/src/control/OperatorReads.cpp
@@ -12,20 +12,23 @@
 
 namespace {
 
-constexpr std::size_t MostHistory = 1000;
+constexpr std::size_t MaxHistoryEntries = 1000;
 
-void refuse(wire::OperatorReply &reply, wire::OperatorStatus status, const std::string &place, const std::string &why)
+void refuse(wire::OperatorReply &reply,
+            wire::OperatorStatus status,
+            const std::string &place,
+            const std::string &reason)
 {
     reply.set_status(status);
     wire::FindingText &finding = *reply.add_findings();
     finding.set_place(place);
-    finding.set_message(why);
+    finding.set_message(reason);
 }
 
 void addTable(const State &state, const wire::GetTable &request, wire::OperatorReply &reply)
 {
     if (request.table_version() == 0 && state.tables().tableVersion() == 0) {
-        // Nothing has been put yet: version 0 is empty, and the first change names it as its base.
+        // No table has been put yet. Version 0 stands for the empty table; the first change names it as its base.
         return;
     }
     const wire::TableText *const text = state.tables().text(request.table_version());
@@ -39,8 +42,9 @@
 
 void addHistory(const State &state, const wire::GetHistory &request, wire::OperatorReply &reply)
 {
-    const std::size_t most = request.most() == 0 ? MostHistory : std::min<std::size_t>(request.most(), MostHistory);
-    for (wire::HistoryEntry &entry : state.tables().history(most)) {
+    const std::size_t maxEntries =
+        request.most() == 0 ? MaxHistoryEntries : std::min<std::size_t>(request.most(), MaxHistoryEntries);
+    for (wire::HistoryEntry &entry : state.tables().history(maxEntries)) {
         *reply.add_history() = std::move(entry);
     }
 }
@@ -53,9 +57,10 @@
         return;
     }
     wire::OwnerReport &owner = *reply.mutable_owner();
-    const bool numbered = state.tables().table().service(request.service()).numberedKeys;
-    owner.set_hash(numbered ? hashOfNumberedKey(std::strtoull(request.key().c_str(), nullptr, 10) % NumberedKeyCount)
-                            : hashKey(request.key()));
+    const bool hasNumberedKeys = state.tables().table().service(request.service()).numberedKeys;
+    owner.set_hash(hasNumberedKeys
+                       ? hashOfNumberedKey(std::strtoull(request.key().c_str(), nullptr, 10) % NumberedKeyCount)
+                       : hashKey(request.key()));
     *owner.mutable_slice() = toWire(service->second.at(owner.hash()));
     if (const wire::UpstreamInfo *const upstream = state.upstreams().find(owner.slice().owner()); upstream != nullptr) {
         *owner.mutable_upstream() = *upstream;
@@ -75,7 +80,7 @@
     return status;
 }
 
-std::map<std::uint32_t, std::uint32_t> slicesByOwner(const State &state)
+std::map<std::uint32_t, std::uint32_t> sliceCountsByOwner(const State &state)
 {
     std::map<std::uint32_t, std::uint32_t> counts;
     for (const auto &[service, map] : state.services()) {
@@ -102,11 +107,11 @@
     for (const auto &[service, map] : state.services()) {
         *report.add_services() = statusOf(service, map, coordinator);
     }
-    std::map<std::uint32_t, std::uint32_t> slices = slicesByOwner(state);
+    std::map<std::uint32_t, std::uint32_t> sliceCounts = sliceCountsByOwner(state);
     for (const auto &[id, upstream] : state.upstreams().all()) {
         wire::UpstreamStatus &status = *report.add_upstreams();
         *status.mutable_upstream() = upstream;
-        status.set_slices(slices[id]);
+        status.set_slices(sliceCounts[id]);
         status.set_marked_out(marks.failureDomainsOut.contains(upstream.failure_domain())
                               || marks.upstreamsOut.contains(upstream.name()));
         const AgentRecord *const agent = coordinator.agents().find(upstream.agent());
@@ -155,32 +160,32 @@
 
 std::string metricsText(const State &state, const Coordinator &coordinator, BootTime now)
 {
-    std::size_t leases = 0;
-    std::size_t behind = 0;
+    std::size_t leaseCount = 0;
+    std::size_t agentsBehind = 0;
     for (const auto &[name, agent] : coordinator.agents().agents) {
-        leases += mayHoldLease(agent, now) ? 1 : 0;
-        behind += isBefore(agent.appliedVersion, state.visibleVersion()) ? 1 : 0;
+        leaseCount += mayHoldLease(agent, now) ? 1 : 0;
+        agentsBehind += isBefore(agent.appliedVersion, state.visibleVersion()) ? 1 : 0;
     }
-    const auto line = [](const std::string &name, std::uint64_t value) {
+    const auto gaugeText = [](const std::string &name, std::uint64_t value) {
         return "# TYPE bergamotweir_control_" + name + " gauge\nbergamotweir_control_" + name + " "
                + std::to_string(value) + "\n";
     };
-    std::size_t slices = 0;
+    std::size_t sliceCount = 0;
     for (const auto &[service, map] : state.services()) {
-        slices += map.slices().size();
+        sliceCount += map.slices().size();
     }
-    std::string text = line("leading", coordinator.isLeading() ? 1 : 0);
-    text += line("term", state.version().term());
-    text += line("applied_index", state.version().index());
-    text += line("table_version", state.tables().tableVersion());
-    text += line("routes_revision", state.tables().routes().revision());
-    text += line("agents_behind", behind);
-    text += line("upstreams", state.upstreams().all().size());
-    text += line("slices", slices);
-    text += line("slices_without_owner", slicesByOwner(state)[0]);
-    text += line("slices_moving", coordinator.moves().moves.size());
-    text += line("leases", leases);
-    text += line("claims", state.claims().size());
+    std::string text = gaugeText("leading", coordinator.isLeading() ? 1 : 0);
+    text += gaugeText("term", state.version().term());
+    text += gaugeText("applied_index", state.version().index());
+    text += gaugeText("table_version", state.tables().tableVersion());
+    text += gaugeText("routes_revision", state.tables().routes().revision());
+    text += gaugeText("agents_behind", agentsBehind);
+    text += gaugeText("upstreams", state.upstreams().all().size());
+    text += gaugeText("slices", sliceCount);
+    text += gaugeText("slices_without_owner", sliceCountsByOwner(state)[0]);
+    text += gaugeText("slices_moving", coordinator.moves().moves.size());
+    text += gaugeText("leases", leaseCount);
+    text += gaugeText("claims", state.claims().size());
     return text;
 }
 
--- a/src/control/RouteStore.cpp
+++ b/src/control/RouteStore.cpp
@@ -15,12 +15,12 @@
     text.set_remedy(finding.remedy);
 }
 
-wire::OperatorReply reply(wire::OperatorStatus status, std::uint64_t revision)
+wire::OperatorReply makeReply(wire::OperatorStatus status, std::uint64_t revision)
 {
-    wire::OperatorReply made;
-    made.set_status(status);
-    made.set_table_version(revision);
-    return made;
+    wire::OperatorReply result;
+    result.set_status(status);
+    result.set_table_version(revision);
+    return result;
 }
 
 } // namespace
@@ -28,36 +28,36 @@
 wire::OperatorReply RouteStore::put(const wire::PutRoutes &change)
 {
     if (const auto known = this->revisionByHash.find(change.content_hash()); known != this->revisionByHash.end()) {
-        return reply(wire::OPERATOR_STATUS_DONE, known->second);
+        return makeReply(wire::OPERATOR_STATUS_DONE, known->second);
     }
     if (change.base_revision() != this->current.revision()) {
-        wire::OperatorReply conflict = reply(wire::OPERATOR_STATUS_CONFLICT, this->current.revision());
+        wire::OperatorReply conflict = makeReply(wire::OPERATOR_STATUS_CONFLICT, this->current.revision());
         addFinding(conflict, {"base revision", "another one is in force", "the one in force"});
         return conflict;
     }
     wire::PutRoutes digested = change;
-    wire::RouteTable &changed = *digested.mutable_table();
+    wire::RouteTable &digestedTable = *digested.mutable_table();
     if (this->current.digest_key().size() == table::DigestKeyBytes) {
-        changed.set_digest_key(this->current.digest_key());
+        digestedTable.set_digest_key(this->current.digest_key());
     }
-    Findings findings = table::digestKeys(changed, changed.digest_key());
-    wire::RouteTable wanted = change.partial() ? table::merged(this->current, digested) : changed;
-    for (Finding &finding : table::validateRoutes(wanted)) {
+    Findings findings = table::digestKeys(digestedTable, digestedTable.digest_key());
+    wire::RouteTable proposed = change.partial() ? table::merged(this->current, digested) : digestedTable;
+    for (Finding &finding : table::validateRoutes(proposed)) {
         findings.push_back(std::move(finding));
     }
-    if (wanted.revision() <= this->current.revision()) {
+    if (proposed.revision() <= this->current.revision()) {
         findings.push_back({"revision", "is not above the one in force", "a higher one"});
     }
     if (!findings.empty()) {
-        wire::OperatorReply refused = reply(wire::OPERATOR_STATUS_BAD_INPUT, this->current.revision());
+        wire::OperatorReply refused = makeReply(wire::OPERATOR_STATUS_BAD_INPUT, this->current.revision());
         for (const Finding &finding : findings) {
             addFinding(refused, finding);
         }
         return refused;
     }
-    this->current = std::move(wanted);
-    this->remember(change.content_hash(), this->current.revision());
-    return reply(wire::OPERATOR_STATUS_DONE, this->current.revision());
+    this->current = std::move(proposed);
+    this->recordAccepted(change.content_hash(), this->current.revision());
+    return makeReply(wire::OPERATOR_STATUS_DONE, this->current.revision());
 }
 
 const wire::RouteTable &RouteStore::routes() const
@@ -68,8 +68,8 @@
 void RouteStore::save(wire::StateSnapshot &to) const
 {
     *to.mutable_routes() = this->current;
-    for (const wire::AcceptedRoutes &one : this->accepted) {
-        *to.add_accepted_routes() = one;
+    for (const wire::AcceptedRoutes &entry : this->accepted) {
+        *to.add_accepted_routes() = entry;
     }
 }
 
@@ -77,17 +77,17 @@
 {
     *this = RouteStore();
     this->current = from.routes();
-    for (const wire::AcceptedRoutes &one : from.accepted_routes()) {
-        this->remember(one.content_hash(), one.revision());
+    for (const wire::AcceptedRoutes &entry : from.accepted_routes()) {
+        this->recordAccepted(entry.content_hash(), entry.revision());
     }
 }
 
-void RouteStore::remember(std::uint64_t contentHash, std::uint64_t revision)
+void RouteStore::recordAccepted(std::uint64_t contentHash, std::uint64_t revision)
 {
-    wire::AcceptedRoutes one;
-    one.set_content_hash(contentHash);
-    one.set_revision(revision);
-    this->accepted.push_back(one);
+    wire::AcceptedRoutes entry;
+    entry.set_content_hash(contentHash);
+    entry.set_revision(revision);
+    this->accepted.push_back(entry);
     this->revisionByHash[contentHash] = revision;
     if (this->accepted.size() > MaxAccepted) {
         this->revisionByHash.erase(this->accepted.front().content_hash());
--- a/src/control/State.cpp
+++ b/src/control/State.cpp
@@ -27,18 +27,18 @@
 
 Applied State::apply(const wire::Version &version, const wire::Command &command)
 {
-    assert(isBefore(this->newest, version));
-    this->newest = version;
+    assert(isBefore(this->appliedVersion, version));
+    this->appliedVersion = version;
     Applied applied;
-    this->applyOne(command, applied);
+    this->applyCommand(command, applied);
     *applied.update.mutable_version() = version;
     if (applied.visible) {
-        this->newestVisible = version;
+        this->lastVisibleVersion = version;
     }
     return applied;
 }
 
-void State::applyOne(const wire::Command &command, Applied &applied)
+void State::applyCommand(const wire::Command &command, Applied &applied)
 {
     switch (command.body_case()) {
     case wire::Command::kPutTable:
@@ -49,7 +49,7 @@
         break;
     case wire::Command::kMark: {
         const table::Marks before = this->tableHistory.marks();
-        *applied.result.mutable_operator_reply() = this->tableHistory.mark(this->newest, command.mark());
+        *applied.result.mutable_operator_reply() = this->tableHistory.mark(this->appliedVersion, command.mark());
         if (this->tableHistory.marks() != before) {
             *applied.update.mutable_table() = this->tableHistory.inForce();
             applied.visible = true;
@@ -76,7 +76,7 @@
         break;
     case wire::Command::kBatch:
         for (const wire::Command &part : command.batch().commands()) {
-            this->applyOne(part, applied);
+            this->applyCommand(part, applied);
         }
         break;
     case wire::Command::BODY_NOT_SET:
@@ -87,25 +87,25 @@
 void State::putTable(const wire::PutTable &change, Applied &applied)
 {
     const std::uint64_t before = this->tableHistory.tableVersion();
-    *applied.result.mutable_operator_reply() = this->tableHistory.put(this->newest, change);
+    *applied.result.mutable_operator_reply() = this->tableHistory.put(this->appliedVersion, change);
     if (this->tableHistory.tableVersion() == before) {
         return;
     }
-    this->tableChanged(applied);
+    this->publishTable(applied);
 }
 
 void State::putRoutes(const wire::PutRoutes &change, Applied &applied)
 {
     const wire::RouteTable before = this->tableHistory.routes();
-    *applied.result.mutable_operator_reply() = this->tableHistory.putRoutes(this->newest, change);
+    *applied.result.mutable_operator_reply() = this->tableHistory.putRoutes(this->appliedVersion, change);
     if (this->tableHistory.routes().revision() != before.revision()) {
-        this->tableChanged(applied);
+        this->publishTable(applied);
         *applied.update.mutable_table()->mutable_routes_change() =
             table::difference(before, this->tableHistory.routes());
     }
 }
 
-void State::tableChanged(Applied &applied)
+void State::publishTable(Applied &applied)
 {
     applied.visible = true;
     *applied.update.mutable_table() = this->tableHistory.inForce();
@@ -115,8 +115,8 @@
         if (!policy.keyed || this->sliceMaps.contains(service)) {
             continue;
         }
-        const std::uint64_t grain = policy.numberedKeys ? NumberedKeyWidth : 1;
-        const auto added = this->sliceMaps.emplace(service, SliceMap::uniform(InitialSlices, grain)).first;
+        const std::uint64_t granularity = policy.numberedKeys ? NumberedKeyWidth : 1;
+        const auto added = this->sliceMaps.emplace(service, SliceMap::uniform(InitialSlices, granularity)).first;
         saveSlices(service, added->second, *applied.update.add_services());
     }
 }
@@ -150,7 +150,7 @@
             continue;
         }
         changed.add_merged(begin);
-        // The slice before it has a new epoch.
+        // The slice before it, into which it was merged, has a new epoch.
         *changed.add_slices() = toWire(map.at(begin));
     }
     if (changed.slices_size() + changed.merged_size() == 0) {
@@ -181,7 +181,7 @@
 std::string State::snapshot() const
 {
     wire::StateSnapshot saved;
-    *saved.mutable_version() = this->newest;
+    *saved.mutable_version() = this->appliedVersion;
     this->tableHistory.save(saved);
     for (const auto &[id, upstream] : this->registry.all()) {
         *saved.add_upstreams() = upstream;
@@ -201,8 +201,8 @@
     if (!saved.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) {
         return false;
     }
-    this->newest = saved.version();
-    this->newestVisible = saved.version();
+    this->appliedVersion = saved.version();
+    this->lastVisibleVersion = saved.version();
     this->tableHistory.restore(saved);
     this->registry.restore(saved);
     this->sliceMaps.clear();
@@ -217,7 +217,7 @@
 wire::StateUpdate State::fullUpdate() const
 {
     wire::StateUpdate update;
-    *update.mutable_version() = this->newest;
+    *update.mutable_version() = this->appliedVersion;
     update.set_full(true);
     *update.mutable_table() = this->tableHistory.inForce();
     *update.mutable_table()->mutable_routes() = table::withoutSources(this->tableHistory.routes());
@@ -235,12 +235,12 @@
 
 const wire::Version &State::version() const
 {
-    return this->newest;
+    return this->appliedVersion;
 }
 
 const wire::Version &State::visibleVersion() const
 {
-    return this->newestVisible;
+    return this->lastVisibleVersion;
 }
 
 const TableHistory &State::tables() const
--- a/src/control/TableHistory.cpp
+++ b/src/control/TableHistory.cpp
@@ -78,7 +78,7 @@
     if (change.base_version() != this->tableVersion()) {
         return this->conflict(change, parsed.value());
     }
-    const std::size_t differing = table::differences(this->current, parsed.value()).size();
+    const std::size_t differingRows = table::differences(this->current, parsed.value()).size();
     this->current = parsed.value().withRoutes(this->current.routes());
     wire::TableText text;
     text.set_table_version(this->tableVersion() + 1);
@@ -93,8 +93,8 @@
     *record.mutable_version() = version;
     record.mutable_entry()->set_author(change.author());
     record.mutable_entry()->set_unix_ms(change.unix_ms());
-    record.mutable_entry()->set_what("table, " + std::to_string(differing) + " rows differ");
-    this->remember(std::move(record));
+    record.mutable_entry()->set_what("table, " + std::to_string(differingRows) + " rows differ");
+    this->recordChange(std::move(record));
     return doneReply(version, this->tableVersion());
 }
 
@@ -124,8 +124,8 @@
     if (change.name().empty() || change.name().size() > table::MaxNameLength) {
         return refusal(wire::OPERATOR_STATUS_BAD_INPUT, {"name", "is empty or too long", "a name of the table"});
     }
-    const bool upstream = change.kind() == wire::MARK_KIND_UPSTREAM;
-    std::set<std::string> &out = upstream ? this->marked.upstreamsOut : this->marked.failureDomainsOut;
+    const bool isUpstream = change.kind() == wire::MARK_KIND_UPSTREAM;
+    std::set<std::string> &out = isUpstream ? this->currentMarks.upstreamsOut : this->currentMarks.failureDomainsOut;
     if (change.in_service()) {
         out.erase(change.name());
     } else {
@@ -138,7 +138,7 @@
     record.mutable_entry()->set_author(change.author());
     record.mutable_entry()->set_unix_ms(change.unix_ms());
     record.mutable_entry()->set_what(markText(change));
-    this->remember(std::move(record));
+    this->recordChange(std::move(record));
     return doneReply(version, this->tableVersion());
 }
 
@@ -154,14 +154,14 @@
 
 const table::Marks &TableHistory::marks() const
 {
-    return this->marked;
+    return this->currentMarks;
 }
 
 const wire::TableText *TableHistory::text(std::uint64_t tableVersion) const
 {
-    const std::uint64_t wanted = tableVersion == 0 ? this->tableVersion() : tableVersion;
+    const std::uint64_t requestedVersion = tableVersion == 0 ? this->tableVersion() : tableVersion;
     const auto found = std::find_if(this->tables.begin(), this->tables.end(), [&](const wire::TableText &text) {
-        return text.table_version() == wanted;
+        return text.table_version() == requestedVersion;
     });
     return found == this->tables.end() ? nullptr : &*found;
 }
@@ -183,10 +183,10 @@
     if (!this->tables.empty()) {
         inForce.set_csv(this->tables.back().csv());
     }
-    for (const std::string &name : this->marked.failureDomainsOut) {
+    for (const std::string &name : this->currentMarks.failureDomainsOut) {
         inForce.add_failure_domains_out(name);
     }
-    for (const std::string &name : this->marked.upstreamsOut) {
+    for (const std::string &name : this->currentMarks.upstreamsOut) {
         inForce.add_upstreams_out(name);
     }
     return inForce;
@@ -201,10 +201,10 @@
         *to.add_changes() = record;
     }
     this->routeStore.save(to);
-    for (const std::string &name : this->marked.failureDomainsOut) {
+    for (const std::string &name : this->currentMarks.failureDomainsOut) {
         to.add_failure_domains_out(name);
     }
-    for (const std::string &name : this->marked.upstreamsOut) {
+    for (const std::string &name : this->currentMarks.upstreamsOut) {
         to.add_upstreams_out(name);
     }
 }
@@ -214,11 +214,11 @@
     *this = TableHistory();
     this->tables.assign(from.tables().begin(), from.tables().end());
     for (const wire::ChangeRecord &record : from.changes()) {
-        this->byId[record.change_id()] = this->changes.size();
+        this->changeNumberById[record.change_id()] = this->changes.size();
         this->changes.push_back(record);
     }
-    this->marked.failureDomainsOut.insert(from.failure_domains_out().begin(), from.failure_domains_out().end());
-    this->marked.upstreamsOut.insert(from.upstreams_out().begin(), from.upstreams_out().end());
+    this->currentMarks.failureDomainsOut.insert(from.failure_domains_out().begin(), from.failure_domains_out().end());
+    this->currentMarks.upstreamsOut.insert(from.upstreams_out().begin(), from.upstreams_out().end());
     if (!this->tables.empty()) {
         Result<table::Table> parsed = table::Table::parse(this->tables.back().csv());
         assert(parsed.has_value());
@@ -234,11 +234,11 @@
         reply = refusal(wire::OPERATOR_STATUS_BAD_INPUT, {"change id", "is missing", "--change-id ID"});
         return true;
     }
-    const auto found = this->byId.find(changeId);
-    if (found == this->byId.end()) {
+    const auto found = this->changeNumberById.find(changeId);
+    if (found == this->changeNumberById.end()) {
         return false;
     }
-    const wire::ChangeRecord &record = this->changes[found->second - this->dropped];
+    const wire::ChangeRecord &record = this->changes[found->second - this->droppedChanges];
     if (record.content_hash() == content) {
         reply = doneReply(record.version(), record.entry().table_version());
         return true;
@@ -249,16 +249,16 @@
     return true;
 }
 
-void TableHistory::remember(wire::ChangeRecord record)
+void TableHistory::recordChange(wire::ChangeRecord record)
 {
     record.mutable_entry()->set_table_version(this->tableVersion());
     record.mutable_entry()->set_change_id(record.change_id());
-    this->byId[record.change_id()] = this->dropped + this->changes.size();
+    this->changeNumberById[record.change_id()] = this->droppedChanges + this->changes.size();
     this->changes.push_back(std::move(record));
     if (this->changes.size() > MaxChanges) {
-        this->byId.erase(this->changes.front().change_id());
+        this->changeNumberById.erase(this->changes.front().change_id());
         this->changes.pop_front();
-        ++this->dropped;
+        ++this->droppedChanges;
     }
 }
 
@@ -274,7 +274,7 @@
     }
 }
 
-wire::OperatorReply TableHistory::conflict(const wire::PutTable &change, const table::Table &wanted) const
+wire::OperatorReply TableHistory::conflict(const wire::PutTable &change, const table::Table &proposed) const
 {
     const std::string place = "base version " + std::to_string(change.base_version());
     const std::string newest = std::to_string(this->tableVersion());
@@ -282,7 +282,7 @@
     wire::OperatorReply reply = refusal(wire::OPERATOR_STATUS_CONFLICT,
                                         {place, "version " + newest + " by " + by + " won", "--base " + newest});
     reply.set_table_version(this->tableVersion());
-    const std::vector<table::RowDifference> differing = table::differences(this->current, wanted);
+    const std::vector<table::RowDifference> differing = table::differences(this->current, proposed);
     for (std::size_t row = 0; row < std::min(differing.size(), MaxNamedRows); ++row) {
         addFinding(reply, {"differing row", table::toText(differing[row]), {}});
     }
--- a/src/control/UpdateBatch.cpp
+++ b/src/control/UpdateBatch.cpp
@@ -13,29 +13,29 @@
 
 void erase(Fingerprints &from, const Fingerprints &values)
 {
-    const auto end = std::remove_if(from.begin(), from.end(), [&values](std::uint64_t value) {
+    const auto kept = std::remove_if(from.begin(), from.end(), [&values](std::uint64_t value) {
         return std::find(values.begin(), values.end(), value) != values.end();
     });
-    from.erase(end, from.end());
+    from.erase(kept, from.end());
 }
 
 } // namespace
 
 void add(UpdateBatch &batch, const wire::StateUpdate &update)
 {
-    // Within one message released fingerprints come after quarantined ones: only the latest word of each may stay.
+    // Within one message the releases are applied after the quarantined fingerprints, so a fingerprint must stand only
+    // in the list of its latest change.
     erase(*batch.pending.mutable_quarantined(), update.released_from_quarantine());
     erase(*batch.pending.mutable_released_from_quarantine(), update.quarantined());
     wire::PutRoutes earlier;
-    const bool joins = update.has_table() && batch.pending.table().has_routes_change();
+    const bool hasEarlierRoutes = update.has_table() && batch.pending.table().has_routes_change();
     if (update.has_table()) {
-        // The table replaces the one before; its lists must not be appended. A change of routes is joined with the
-        // next.
+        // The new table replaces the pending one; MergeFrom() would append to its lists. Changes of routes are joined.
         earlier = batch.pending.table().routes_change();
         batch.pending.clear_table();
     }
     batch.pending.MergeFrom(update);
-    if (joins) {
+    if (hasEarlierRoutes) {
         const wire::PutRoutes &later = update.table().routes_change();
         *batch.pending.mutable_table()->mutable_routes_change() =
             update.table().has_routes_change() ? table::joined(earlier, later) : earlier;
--- a/src/control/UpstreamRegistry.cpp
+++ b/src/control/UpstreamRegistry.cpp
@@ -4,12 +4,12 @@
 
 std::uint32_t UpstreamRegistry::put(const wire::UpstreamInfo &upstream)
 {
-    std::uint32_t &id = this->ids[{upstream.service(), upstream.name()}];
+    std::uint32_t &id = this->idByName[{upstream.service(), upstream.name()}];
     if (id != 0 && sameAnnouncement(this->upstreams[id], upstream)) {
         return 0;
     }
     if (id == 0) {
-        id = static_cast<std::uint32_t>(this->ids.size());
+        id = static_cast<std::uint32_t>(this->idByName.size());
     }
     this->store(id, upstream);
     return id;
@@ -28,32 +28,32 @@
 
 const wire::UpstreamInfo *UpstreamRegistry::find(const std::string &service, const std::string &name) const
 {
-    const auto found = this->ids.find({service, name});
-    return found == this->ids.end() ? nullptr : this->find(found->second);
+    const auto found = this->idByName.find({service, name});
+    return found == this->idByName.end() ? nullptr : this->find(found->second);
 }
 
 const std::set<std::uint32_t> &UpstreamRegistry::ofAgent(const std::string &agent) const
 {
     static const std::set<std::uint32_t> none;
-    const auto found = this->agents.find(agent);
-    return found == this->agents.end() ? none : found->second;
+    const auto found = this->idsByAgent.find(agent);
+    return found == this->idsByAgent.end() ? none : found->second;
 }
 
 const std::set<std::uint32_t> &UpstreamRegistry::ofService(const std::string &service) const
 {
     static const std::set<std::uint32_t> none;
-    const auto found = this->services.find(service);
-    return found == this->services.end() ? none : found->second;
+    const auto found = this->idsByService.find(service);
+    return found == this->idsByService.end() ? none : found->second;
 }
 
 void UpstreamRegistry::store(std::uint32_t id, const wire::UpstreamInfo &upstream)
 {
     wire::UpstreamInfo &stored = this->upstreams[id];
-    this->agents[stored.agent()].erase(id);
+    this->idsByAgent[stored.agent()].erase(id);
     stored = upstream;
     stored.set_id(id);
-    this->agents[stored.agent()].insert(id);
-    this->services[stored.service()].insert(id);
+    this->idsByAgent[stored.agent()].insert(id);
+    this->idsByService[stored.service()].insert(id);
 }
 
 void UpstreamRegistry::restore(const wire::StateSnapshot &from)
@@ -61,7 +61,7 @@
     *this = UpstreamRegistry();
     for (const wire::UpstreamInfo &upstream : from.upstreams()) {
         this->store(upstream.id(), upstream);
-        this->ids[{upstream.service(), upstream.name()}] = upstream.id();
+        this->idByName[{upstream.service(), upstream.name()}] = upstream.id();
     }
 }
 
