--- a/src/control/LimitAllocator.cpp
+++ b/src/control/LimitAllocator.cpp
@@ -12,222 +12,241 @@
 
 namespace {
 
-/** Part of a limit that all shares together take; the rest is for permits. */
-constexpr double SharedPart = 0.75;
-/** The same for a limit that has just about one request in a window for each agent. */
-constexpr double MostSharedPart = 0.9;
-/** Part of that which is granted as long as no agent comes anew. */
-constexpr double GrantedPart = 0.97;
-/** Part of the permits that must be free for one to be handed out ahead of a request. */
-constexpr double AheadPart = 0.5;
-/** Workspaces beyond which no even parts are granted. */
-constexpr std::size_t MostEvenWorkspaces = 1024;
+/** Fraction of a limit that all shares together may take; the rest is reserved for permits. */
+constexpr double SharedFraction = 0.75;
+/** Upper bound of that fraction, for a limit that allows only about one request per agent in a window. */
+constexpr double MaxSharedFraction = 0.9;
+/** Fraction of the shared part that is granted; the rest is kept free for agents that join. */
+constexpr double GrantedFraction = 0.97;
+/** Fraction of the permits that must be free for an extra permit to be granted before a request needs it. */
+constexpr double ExtraPermitMinFreeFraction = 0.5;
+/** Maximum number of workspaces for which every agent gets a share of one request. */
+constexpr std::size_t MaxUniformWorkspaces = 1024;
 /**
- * Shares change when they would grow or shrink by more than this. A returned share serves nobody for a window, so that
- * one which is too large for its agent stays there unless much of it is idle.
+ * A share is changed when it would grow or shrink beyond these factors. A returned share is unusable for a window, so a
+ * share that is too large for its agent stays there unless much of it is idle.
  */
-constexpr double WorthGrowing = 1.2;
-constexpr double WorthShrinking = 0.6;
-/** An agent gets no more than so many times what its callers ask for in a window, as others may yet come. */
-constexpr double Headroom = 2;
-/** Fractions that are whole numbers but for rounding. */
-constexpr double Rounding = 1e-6;
-
-/** Small demands vary more in proportion: they get more than their part. */
+constexpr double GrowthThreshold = 1.2;
+constexpr double ShrinkThreshold = 0.6;
+/** Upper bound of an agent's share as a multiple of the demand in a window, since other agents may join later. */
+constexpr double DemandHeadroom = 2;
+/** Tolerance of rounding errors, in requests, where a number of requests should be whole. */
+constexpr double RoundingTolerance = 1e-6;
+
+/** Small demands vary more relative to their size, so they get more than their proportional part. */
 double weightOf(double demand)
 {
     return demand <= 0 ? 0 : demand + std::sqrt(demand);
 }
 
-double outstanding(const HeldLimit &limit)
+double outstanding(const ShareRecord &record)
 {
-    return std::max({limit.held, limit.sent, limit.inherited});
+    return std::max({record.confirmedShare, record.grantedShare, record.inheritedShare});
 }
 
-void leave(LimitReserve &reserve, const HeldLimit &limit)
+void subtractFromTotals(LimitAllocation &allocation, const ShareRecord &record)
 {
-    reserve.outstanding = std::max(0.0, reserve.outstanding - outstanding(limit));
-    reserve.weight = std::max(0.0, reserve.weight - weightOf(limit.demand));
-    --reserve.agents;
+    allocation.outstanding = std::max(0.0, allocation.outstanding - outstanding(record));
+    allocation.totalWeight = std::max(0.0, allocation.totalWeight - weightOf(record.demand));
+    --allocation.agentCount;
 }
 
-void enter(LimitReserve &reserve, const HeldLimit &limit)
+void addToTotals(LimitAllocation &allocation, const ShareRecord &record)
 {
-    reserve.outstanding += outstanding(limit);
-    reserve.weight += weightOf(limit.demand);
-    ++reserve.agents;
+    allocation.outstanding += outstanding(record);
+    allocation.totalWeight += weightOf(record.demand);
+    ++allocation.agentCount;
 }
 
-/** Keeps a returned share from others while the window in which it may have been used runs. */
-void coolDown(const LimitAllocator &allocator, LimitReserve &reserve, double share, BootTime now)
+/** Withholds a returned share from other agents until the window in which it may have been used has passed. */
+void startCoolDown(const LimitAllocator &allocator, LimitAllocation &allocation, double share, BootTime now)
 {
     if (share > 0) {
-        reserve.outstanding += share;
-        reserve.returned.push_back({now + allocator.settings.bounds.window + allocator.settings.drift, share});
+        allocation.outstanding += share;
+        allocation.returned.push_back({now + allocator.settings.bounds.window + allocator.settings.drift, share});
     }
 }
 
-void dropOld(LimitReserve &reserve, BootTime now)
+void dropExpired(LimitAllocation &allocation, BootTime now)
 {
-    while (!reserve.returned.empty() && reserve.returned.front().freeAt <= now) {
-        reserve.outstanding = std::max(0.0, reserve.outstanding - reserve.returned.front().share);
-        reserve.returned.pop_front();
+    while (!allocation.returned.empty() && allocation.returned.front().availableAt <= now) {
+        allocation.outstanding = std::max(0.0, allocation.outstanding - allocation.returned.front().share);
+        allocation.returned.pop_front();
     }
-    while (!reserve.grantedPermits.empty() && reserve.grantedPermits.front().countsUntil <= now) {
-        reserve.permits -= reserve.grantedPermits.front().permits;
-        reserve.grantedPermits.pop_front();
+    while (!allocation.grantedPermits.empty() && allocation.grantedPermits.front().countsUntil <= now) {
+        allocation.outstandingPermits -= allocation.grantedPermits.front().permits;
+        allocation.grantedPermits.pop_front();
     }
 }
 
-void takeBackAll(LimitAllocator &allocator, AgentLimits &agent, BootTime now)
+void reclaimAll(LimitAllocator &allocator, AgentShares &agent, BootTime now)
 {
-    for (const auto &[name, limit] : agent.workspaces) {
-        LimitReserve &reserve = allocator.reserves[name];
-        leave(reserve, limit);
-        coolDown(allocator, reserve, outstanding(limit), now);
+    for (const auto &[workspace, record] : agent.workspaces) {
+        LimitAllocation &allocation = allocator.allocations[workspace];
+        subtractFromTotals(allocation, record);
+        startCoolDown(allocator, allocation, outstanding(record), now);
     }
     agent.workspaces.clear();
 }
 
-void dropInherited(LimitAllocator &allocator, AgentLimits &agent)
+void dropInherited(LimitAllocator &allocator, AgentShares &agent)
 {
     agent.inheritedUntil = {};
-    for (auto &[name, limit] : agent.workspaces) {
-        LimitReserve &reserve = allocator.reserves[name];
-        leave(reserve, limit);
-        limit.inherited = 0;
-        enter(reserve, limit);
+    for (auto &[workspace, record] : agent.workspaces) {
+        LimitAllocation &allocation = allocator.allocations[workspace];
+        subtractFromTotals(allocation, record);
+        record.inheritedShare = 0;
+        addToTotals(allocation, record);
     }
 }
 
-/** Goes on counting what an agent held of a workspace when it tells its shares anew. */
-void keepReported(
-    LimitAllocator &allocator, AgentLimits &agent, const std::string &name, const HeldLimit &before, BootTime now)
+/** Keeps counting the share that an agent held of a workspace before it reported all its shares again. */
+void carryOver(LimitAllocator &allocator,
+               AgentShares &agent,
+               const std::string &workspace,
+               const ShareRecord &previous,
+               BootTime now)
 {
-    const auto [entry, added] = agent.workspaces.try_emplace(name);
-    HeldLimit &limit = entry->second;
-    LimitReserve &reserve = allocator.reserves[name];
+    const auto [entry, added] = agent.workspaces.try_emplace(workspace);
+    ShareRecord &record = entry->second;
+    LimitAllocation &allocation = allocator.allocations[workspace];
     if (!added) {
-        leave(reserve, limit);
+        subtractFromTotals(allocation, record);
     }
-    limit.inherited = before.inherited;
-    limit.demand = std::max(limit.demand, added ? before.demand : 0.0);
-    enter(reserve, limit);
-    coolDown(allocator, reserve, outstanding(before) - outstanding(limit), now);
+    record.inheritedShare = previous.inheritedShare;
+    record.demand = std::max(record.demand, added ? previous.demand : 0.0);
+    addToTotals(allocation, record);
+    startCoolDown(allocator, allocation, outstanding(previous) - outstanding(record), now);
 }
 
-/** Makes a whole number of requests, rounded up for as many agents as the fraction says. */
+/**
+ * @return the number of requests rounded to a whole number: up for a part of the agents that equals its fractional
+ *         part, chosen by hash, else down
+ */
 double wholeRequests(double requests, const std::string &incarnationId, const std::string &workspace)
 {
     const std::uint64_t hash =
         XXH3_64bits_withSeed(incarnationId.data(), incarnationId.size(), std::hash<std::string>()(workspace));
-    const double draw = static_cast<double>(hash >> 11U) / static_cast<double>(1ULL << 53U);
-    return std::floor(requests + draw);
+    const double hashFraction = static_cast<double>(hash >> 11U) / static_cast<double>(1ULL << 53U);
+    return std::floor(requests + hashFraction);
 }
 
-/** @return how long a permit counts against the limit: while it may be used, and for the window after */
-BootClock::duration countedFor(const LimitAllocatorSettings &settings)
+/** @return how long a permit counts against the limit: while it may be used, and for one window afterwards */
+BootClock::duration permitCountingTime(const LimitAllocatorSettings &settings)
 {
-    return settings.permit + settings.bounds.window + settings.drift;
+    return settings.permitDuration + settings.bounds.window + settings.drift;
 }
 
-/** @return whether permits of the leader before still count */
-bool mayOwePermits(const LimitAllocator &allocator, BootTime now)
+/** @return whether permits granted by the previous leader may still count against the limit */
+bool mayHaveEarlierPermits(const LimitAllocator &allocator, BootTime now)
 {
-    return now < allocator.leaderSince + countedFor(allocator.settings);
+    return now < allocator.leaderSince + permitCountingTime(allocator.settings);
 }
 
-/** @return part of a limit that all shares together may take now */
-double sharedPart(const LimitAllocator &allocator, double most, BootTime now)
+/** @return fraction of a limit that all shares together may take now */
+double sharedFraction(const LimitAllocator &allocator, double limit, BootTime now)
 {
-    const double oneEach = static_cast<double>(allocator.agents.size()) / (GrantedPart * most);
-    return oneEach > MostSharedPart || mayOwePermits(allocator, now) ? SharedPart : std::max(SharedPart, oneEach);
+    const double oneRequestEach = static_cast<double>(allocator.agents.size()) / (GrantedFraction * limit);
+    return oneRequestEach > MaxSharedFraction || mayHaveEarlierPermits(allocator, now)
+               ? SharedFraction
+               : std::max(SharedFraction, oneRequestEach);
 }
 
-/** @return requests in a window that suit the agent's demand beside that of all others */
-double
-wantedRequests(const LimitAllocator &allocator, const LimitReserve &reserve, const HeldLimit &limit, double shared)
+/** @return requests in a window that match the agent's demand in proportion to the demand of all agents */
+double targetRequests(const LimitAllocator &allocator,
+                      const LimitAllocation &allocation,
+                      const ShareRecord &record,
+                      double sharedRequests)
 {
-    const double all = GrantedPart * shared;
-    // One for each agent, so that the first request of a workspace there finds it.
-    const double agents = static_cast<double>(allocator.agents.size());
-    const bool oneEach = agents <= all + Rounding && allocator.reserves.size() <= MostEvenWorkspaces;
-    const double byDemand = oneEach ? std::max(0.0, all - agents) : all;
-    const double weight = weightOf(limit.demand);
-    const double seconds = std::chrono::duration<double>(allocator.settings.bounds.window).count();
-    const double useful = 1 + Headroom * limit.demand * seconds;
-    return (oneEach ? 1 : 0) + (weight > 0 ? std::min(useful, byDemand * weight / reserve.weight) : 0);
+    const double grantableRequests = GrantedFraction * sharedRequests;
+    // Every agent gets one request, so that the first request of a workspace at any agent is admitted.
+    const double agentCount = static_cast<double>(allocator.agents.size());
+    const bool oneForEach =
+        agentCount <= grantableRequests + RoundingTolerance && allocator.allocations.size() <= MaxUniformWorkspaces;
+    const double requestsByDemand = oneForEach ? std::max(0.0, grantableRequests - agentCount) : grantableRequests;
+    const double weight = weightOf(record.demand);
+    const double windowSeconds = std::chrono::duration<double>(allocator.settings.bounds.window).count();
+    const double maxUseful = 1 + DemandHeadroom * record.demand * windowSeconds;
+    return (oneForEach ? 1 : 0)
+           + (weight > 0 ? std::min(maxUseful, requestsByDemand * weight / allocation.totalWeight) : 0);
 }
 
-unsigned handOut(
-    LimitAllocator &allocator, LimitReserve &reserve, const table::Workspace &workspace, HeldLimit &limit, BootTime now)
+unsigned grantPermits(LimitAllocator &allocator,
+                      LimitAllocation &allocation,
+                      const table::Workspace &workspace,
+                      ShareRecord &record,
+                      BootTime now)
 {
-    const unsigned wanted = std::exchange(limit.wanted, 0);
-    if (mayOwePermits(allocator, now)) {
+    const unsigned permitsWanted = std::exchange(record.permitsWanted, 0);
+    if (mayHaveEarlierPermits(allocator, now)) {
         return 0;
     }
-    const double whole = table::maxInWindow(workspace, allocator.settings.bounds);
-    const double most = (1 - std::max(SharedPart, reserve.outstanding)) * whole;
-    const double room = std::max(0.0, most - reserve.permits);
-    const bool ahead = std::exchange(limit.wantsExtraPermit, false) && room - wanted > AheadPart * most;
-    const unsigned permits = std::min(wanted + (ahead ? 1 : 0), static_cast<unsigned>(room));
+    const double limit = table::maxInWindow(workspace, allocator.settings.bounds);
+    const double maxPermits = (1 - std::max(SharedFraction, allocation.outstanding)) * limit;
+    const double freePermits = std::max(0.0, maxPermits - allocation.outstandingPermits);
+    const bool grantsExtra = std::exchange(record.wantsExtraPermit, false)
+                             && freePermits - permitsWanted > ExtraPermitMinFreeFraction * maxPermits;
+    const unsigned permits = std::min(permitsWanted + (grantsExtra ? 1 : 0), static_cast<unsigned>(freePermits));
     if (permits > 0) {
-        reserve.grantedPermits.push_back({now + countedFor(allocator.settings), permits});
-        reserve.permits += permits;
+        allocation.grantedPermits.push_back({now + permitCountingTime(allocator.settings), permits});
+        allocation.outstandingPermits += permits;
     }
     return permits;
 }
 
-/** Grants one workspace's share and permits. */
-void grantOne(LimitAllocator &allocator,
-              const std::string &incarnationId,
-              const std::string &name,
-              const table::Workspace *workspace,
-              HeldLimit &limit,
-              BootTime now,
-              wire::Renewed &renewed)
+/** Grants an agent's share and permits of one workspace. */
+void grantWorkspace(LimitAllocator &allocator,
+                    const std::string &incarnationId,
+                    const std::string &name,
+                    const table::Workspace *workspace,
+                    ShareRecord &record,
+                    BootTime now,
+                    wire::Renewed &renewed)
 {
-    LimitReserve &reserve = allocator.reserves[name];
-    dropOld(reserve, now);
-    const bool limited = workspace != nullptr && table::isLimited(*workspace);
-    const double whole = limited ? table::maxInWindow(*workspace, allocator.settings.bounds) : 1;
-    const double part = sharedPart(allocator, whole, now);
+    LimitAllocation &allocation = allocator.allocations[name];
+    dropExpired(allocation, now);
+    const bool hasLimit = workspace != nullptr && table::isLimited(*workspace);
+    const double limit = hasLimit ? table::maxInWindow(*workspace, allocator.settings.bounds) : 1;
+    const double maxShared = sharedFraction(allocator, limit, now);
     const double requests =
-        limited ? wholeRequests(wantedRequests(allocator, reserve, limit, part * whole), incarnationId, name) : 0;
-    const double before = outstanding(limit);
-    const double free = std::min(part, 1 - reserve.permits / whole) - reserve.outstanding;
-    const double room = allocator.allSharesKnown ? std::max(0.0, free) : 0;
-    const double share = std::floor(std::min(requests / whole, before + room) * whole + Rounding) / whole;
-    const bool changes = share > WorthGrowing * limit.sent || share < WorthShrinking * limit.sent;
-    if (changes) {
-        leave(reserve, limit);
-        // The grant before may still be on its way.
-        limit.held = std::max(limit.held, limit.sent);
-        limit.sent = share;
-        limit.sentSequence = renewed.sequence();
-        enter(reserve, limit);
+        hasLimit ? wholeRequests(targetRequests(allocator, allocation, record, maxShared * limit), incarnationId, name)
+                 : 0;
+    const double previousShare = outstanding(record);
+    const double unallocated = std::min(maxShared, 1 - allocation.outstandingPermits / limit) - allocation.outstanding;
+    const double availableShare = allocator.allSharesKnown ? std::max(0.0, unallocated) : 0;
+    const double share =
+        std::floor(std::min(requests / limit, previousShare + availableShare) * limit + RoundingTolerance) / limit;
+    const bool shouldChange =
+        share > GrowthThreshold * record.grantedShare || share < ShrinkThreshold * record.grantedShare;
+    if (shouldChange) {
+        subtractFromTotals(allocation, record);
+        // The previous grant may still be in flight.
+        record.confirmedShare = std::max(record.confirmedShare, record.grantedShare);
+        record.grantedShare = share;
+        record.grantSequence = renewed.sequence();
+        addToTotals(allocation, record);
     }
-    const unsigned permits = limited ? handOut(allocator, reserve, *workspace, limit, now) : 0;
-    if (!changes && permits == 0) {
+    const unsigned permits = hasLimit ? grantPermits(allocator, allocation, *workspace, record, now) : 0;
+    if (!shouldChange && permits == 0) {
         return;
     }
     wire::WorkspaceShare &granted = *renewed.add_shares();
     granted.set_workspace(name);
     granted.set_permits(permits);
-    if (changes) {
+    if (shouldChange) {
         granted.set_share(share);
     }
 }
 
-/** Makes an entry for every workspace of which each agent gets an even part. */
-void addEvenParts(LimitAllocator &allocator, AgentLimits &agent, const table::RouteTable &routes)
+/** Adds a record for every workspace with a limit, of which each agent gets a share of one request. */
+void addUniformShares(LimitAllocator &allocator, AgentShares &agent, const table::RouteTable &routes)
 {
-    if (routes.workspaces().size() > MostEvenWorkspaces || agent.workspaces.size() >= routes.workspaces().size()) {
+    if (routes.workspaces().size() > MaxUniformWorkspaces || agent.workspaces.size() >= routes.workspaces().size()) {
         return;
     }
     for (const auto &[name, workspace] : routes.workspaces()) {
         if (table::isLimited(workspace) && agent.workspaces.try_emplace(name).second) {
-            ++allocator.reserves[name].agents;
+            ++allocator.allocations[name].agentCount;
         }
     }
 }
@@ -237,63 +256,63 @@
 void beginLeading(LimitAllocator &allocator, BootTime now)
 {
     allocator.agents.clear();
-    allocator.reserves.clear();
+    allocator.allocations.clear();
     allocator.allSharesKnown = false;
     allocator.leaderSince = now;
 }
 
 void updateAllSharesKnown(LimitAllocator &allocator, bool allReported, BootTime now)
 {
-    // Shares that were returned to the leader before may have been used within the window that still runs.
+    // Shares that were returned to the previous leader may have been used within the current window.
     const bool windowPassed =
         now >= allocator.leaderSince + allocator.settings.bounds.window + allocator.settings.drift;
-    const bool leasesEnded = now >= allocator.leaderSince + allocator.settings.lease + allocator.settings.bounds.window
-                                        + allocator.settings.drift;
-    allocator.allSharesKnown = allocator.allSharesKnown || (allReported && windowPassed) || leasesEnded;
+    const bool leasesExpired = now >= allocator.leaderSince + allocator.settings.lease
+                                          + allocator.settings.bounds.window + allocator.settings.drift;
+    allocator.allSharesKnown = allocator.allSharesKnown || (allReported && windowPassed) || leasesExpired;
 }
 
 void recordDemand(LimitAllocator &allocator, const std::string &incarnationId, const wire::Renew &renew, BootTime now)
 {
-    std::map<std::string, HeldLimit, std::less<>> before;
+    std::map<std::string, ShareRecord, std::less<>> previousRecords;
     if (renew.all_shares()) {
-        AgentLimits &agent = allocator.agents[incarnationId];
-        before.swap(agent.workspaces);
-        for (const auto &[name, limit] : before) {
-            leave(allocator.reserves[name], limit);
+        AgentShares &agent = allocator.agents[incarnationId];
+        previousRecords.swap(agent.workspaces);
+        for (const auto &[workspace, record] : previousRecords) {
+            subtractFromTotals(allocator.allocations[workspace], record);
         }
-        agent.end = std::max(agent.end, now + allocator.settings.lease + allocator.settings.drift);
+        agent.validUntil = std::max(agent.validUntil, now + allocator.settings.lease + allocator.settings.drift);
     }
     const auto found = allocator.agents.find(incarnationId);
     if (found == allocator.agents.end()) {
         return;
     }
-    AgentLimits &agent = found->second;
+    AgentShares &agent = found->second;
     for (const wire::WorkspaceDemand &demand : renew.demands()) {
         const auto [entry, added] = agent.workspaces.try_emplace(demand.workspace());
-        HeldLimit &limit = entry->second;
-        LimitReserve &reserve = allocator.reserves[demand.workspace()];
+        ShareRecord &record = entry->second;
+        LimitAllocation &allocation = allocator.allocations[demand.workspace()];
         if (!added) {
-            leave(reserve, limit);
+            subtractFromTotals(allocation, record);
         }
-        limit.demand = std::max(0.0F, demand.per_second());
-        limit.wanted = demand.permits_wanted();
-        limit.wantsExtraPermit = demand.permit_ahead();
+        record.demand = std::max(0.0F, demand.per_second());
+        record.permitsWanted = demand.permits_wanted();
+        record.wantsExtraPermit = demand.permit_ahead();
         if (renew.all_shares()) {
-            limit.held = std::clamp(demand.share(), 0.0, 1.0);
-            limit.sent = limit.held;
+            record.confirmedShare = std::clamp(demand.share(), 0.0, 1.0);
+            record.grantedShare = record.confirmedShare;
         }
-        enter(reserve, limit);
+        addToTotals(allocation, record);
     }
-    for (const auto &[name, limit] : before) {
-        keepReported(allocator, agent, name, limit, now);
+    for (const auto &[workspace, record] : previousRecords) {
+        carryOver(allocator, agent, workspace, record, now);
     }
-    for (auto &[name, limit] : agent.workspaces) {
-        if (limit.held != limit.sent && limit.sentSequence <= renew.shares_applied()) {
-            LimitReserve &reserve = allocator.reserves[name];
-            leave(reserve, limit);
-            coolDown(allocator, reserve, limit.held - limit.sent, now);
-            limit.held = limit.sent;
-            enter(reserve, limit);
+    for (auto &[workspace, record] : agent.workspaces) {
+        if (record.confirmedShare != record.grantedShare && record.grantSequence <= renew.shares_applied()) {
+            LimitAllocation &allocation = allocator.allocations[workspace];
+            subtractFromTotals(allocation, record);
+            startCoolDown(allocator, allocation, record.confirmedShare - record.grantedShare, now);
+            record.confirmedShare = record.grantedShare;
+            addToTotals(allocation, record);
         }
     }
 }
@@ -304,16 +323,16 @@
     if (found == allocator.agents.end()) {
         return;
     }
-    AgentLimits agent = std::move(found->second);
+    AgentShares agent = std::move(found->second);
     allocator.agents.erase(found);
     agent.inheritedUntil = now + allocator.settings.bounds.window + allocator.settings.drift;
-    for (auto &[name, limit] : agent.workspaces) {
-        LimitReserve &reserve = allocator.reserves[name];
-        leave(reserve, limit);
-        limit.inherited = outstanding(limit);
-        limit.held = 0;
-        limit.sent = 0;
-        enter(reserve, limit);
+    for (auto &[workspace, record] : agent.workspaces) {
+        LimitAllocation &allocation = allocator.allocations[workspace];
+        subtractFromTotals(allocation, record);
+        record.inheritedShare = outstanding(record);
+        record.confirmedShare = 0;
+        record.grantedShare = 0;
+        addToTotals(allocation, record);
     }
     allocator.agents[successor] = std::move(agent);
 }
@@ -321,8 +340,8 @@
 void expireLimits(LimitAllocator &allocator, BootTime now)
 {
     for (auto &[incarnationId, agent] : allocator.agents) {
-        if (now >= agent.end) {
-            takeBackAll(allocator, agent, now);
+        if (now >= agent.validUntil) {
+            reclaimAll(allocator, agent, now);
         } else if (agent.inheritedUntil != BootTime() && now >= agent.inheritedUntil) {
             dropInherited(allocator, agent);
         }
@@ -345,20 +364,20 @@
     if (found == allocator.agents.end()) {
         return;
     }
-    AgentLimits &agent = found->second;
-    agent.end = std::max(agent.end, arrival + allocator.settings.lease + allocator.settings.drift);
+    AgentShares &agent = found->second;
+    agent.validUntil = std::max(agent.validUntil, arrival + allocator.settings.lease + allocator.settings.drift);
     renewed.set_share_lease_ms(static_cast<std::uint32_t>(allocator.settings.lease.count()));
-    renewed.set_permit_ms(static_cast<std::uint32_t>(allocator.settings.permit.count()));
-    addEvenParts(allocator, agent, routes);
+    renewed.set_permit_ms(static_cast<std::uint32_t>(allocator.settings.permitDuration.count()));
+    addUniformShares(allocator, agent, routes);
     for (auto entry = agent.workspaces.begin(); entry != agent.workspaces.end();) {
-        HeldLimit &limit = entry->second;
+        ShareRecord &record = entry->second;
         const table::Workspace *workspace = routes.workspace(entry->first);
-        grantOne(allocator, incarnationId, entry->first, workspace, limit, now, renewed);
-        const bool ended = workspace == nullptr && outstanding(limit) <= 0;
-        if (ended) {
-            leave(allocator.reserves[entry->first], limit);
+        grantWorkspace(allocator, incarnationId, entry->first, workspace, record, now, renewed);
+        const bool shouldErase = workspace == nullptr && outstanding(record) <= 0;
+        if (shouldErase) {
+            subtractFromTotals(allocator.allocations[entry->first], record);
         }
-        entry = ended ? agent.workspaces.erase(entry) : std::next(entry);
+        entry = shouldErase ? agent.workspaces.erase(entry) : std::next(entry);
     }
 }
 
--- a/tests/ControlStateFaultTest.cpp
+++ b/tests/ControlStateFaultTest.cpp
@@ -10,14 +10,14 @@
 
 namespace {
 
-/** A log that loses proposals before, and answers after, they are committed, and restarts from its snapshot. */
+/** A log that loses proposals before they are committed and answers after it, and restarts from its snapshot. */
 struct LossyLog {
     explicit LossyLog(std::uint64_t seed)
         : random(seed)
     {
     }
 
-    /** @return the answer, or nothing when it was lost; the command may have been committed all the same */
+    /** @return the answer, or nothing when it was lost; the command may have been committed in either case */
     std::optional<wire::CommandResult> propose(const wire::Command &command)
     {
         if (this->random(4) == 0) {
@@ -43,47 +43,47 @@
     std::uint64_t index = 0;
 };
 
-/** One attempt to run a request under an Idempotency-Key, by an agent that may die at any step. */
+/** One attempt to run a request under an Idempotency-Key, by an agent that may crash at any step. */
 struct Attempt {
     std::string name;
-    bool granted = false;
-    bool ran = false;
-    bool gone = false;
+    bool isGranted = false;
+    bool hasRun = false;
+    bool isFinished = false;
 };
 
 void step(Attempt &attempt, LossyLog &log)
 {
-    if (attempt.gone) {
+    if (attempt.isFinished) {
         return;
     }
     wire::Command command;
-    if (!attempt.granted) {
+    if (!attempt.isGranted) {
         command.mutable_claim()->set_idempotency_key("sweep-7");
         command.mutable_claim()->set_attempt(attempt.name);
         const auto answer = log.propose(command);
-        attempt.granted = answer && answer->claim().verdict() == wire::CLAIM_VERDICT_GRANTED;
-        attempt.gone = answer && !attempt.granted;
-    } else if (!attempt.ran && log.random(3) == 0) {
-        // The owner could not be reached: given back, since it surely did not run.
+        attempt.isGranted = answer && answer->claim().verdict() == wire::CLAIM_VERDICT_GRANTED;
+        attempt.isFinished = answer && !attempt.isGranted;
+    } else if (!attempt.hasRun && log.random(3) == 0) {
+        // The owner could not be reached: the claim is released, since the request certainly did not run.
         command.mutable_claim_outcome()->set_released(true);
     } else {
-        attempt.ran = true;
+        attempt.hasRun = true;
         command.mutable_claim_outcome()->set_status(200);
     }
     if (command.has_claim_outcome()) {
         command.mutable_claim_outcome()->set_idempotency_key("sweep-7");
         command.mutable_claim_outcome()->set_attempt(attempt.name);
         const auto answer = log.propose(command);
-        attempt.gone = attempt.ran ? answer.has_value() : true;
+        attempt.isFinished = attempt.hasRun ? answer.has_value() : true;
     }
-    attempt.gone = attempt.gone || log.random(8) == 0;
+    attempt.isFinished = attempt.isFinished || log.random(8) == 0;
 }
 
 } // namespace
 
-// A treasurer's sweep is sent again and again through several agents; claims and answers get lost, agents die between
-// claim, dispatch and record, leaders change and the group restarts. The money must move at most once.
-TEST_CASE("claims: whatever gets lost, at most one attempt runs")
+// Guards against a payment that runs twice. The same request is resent through several agents while claims and answers
+// get lost, agents crash between claim, dispatch and record, leaders change and the control group restarts.
+TEST_CASE("claims: at most one attempt runs, whichever messages get lost")
 {
     std::size_t runs = 0;
     for (std::uint64_t seed = 1; seed <= 500; ++seed) {
@@ -97,7 +97,7 @@
         for (int round = 0; round < 60; ++round) {
             Attempt &attempt = attempts[log.random(static_cast<std::uint32_t>(attempts.size()))];
             step(attempt, log);
-            if (attempt.ran) {
+            if (attempt.hasRun) {
                 ran.insert(attempt.name);
             }
         }
@@ -107,19 +107,19 @@
     REQUIRE(runs > 100);
 }
 
-// Operators race one another from the same version and send a change again when its answer is lost. An acknowledged
-// change must be in the history once, whoever raced it, and no version may come twice or go back.
-TEST_CASE("table: racing operators and lost answers lose no acknowledged change and apply none twice")
+// Operators make concurrent changes from the same version and resend a change when its answer is lost. An acknowledged
+// change must be in the history exactly once, and table versions must neither repeat nor decrease.
+TEST_CASE("table: with concurrent operators and lost answers, no acknowledged change is lost and none is applied twice")
 {
     for (std::uint64_t seed = 1; seed <= 200; ++seed) {
         INFO("seed " << seed);
         LossyLog log(seed);
         std::map<std::string, std::uint64_t> acknowledged;
         std::set<std::string> refused;
-        std::vector<wire::Command> open(3);
+        std::vector<wire::Command> pendingChanges(3);
         std::uint64_t lastVersion = 0;
         for (int round = 0; round < 60; ++round) {
-            wire::Command &change = open[log.random(3)];
+            wire::Command &change = pendingChanges[log.random(3)];
             if (!change.has_put_table()) {
                 change.mutable_put_table()->set_change_id("change-" + std::to_string(round));
                 change.mutable_put_table()->set_base_version(log.state.tables().tableVersion());
@@ -134,7 +134,7 @@
             }
             const wire::OperatorReply &reply = answer->operator_reply();
             if (reply.status() == wire::OPERATOR_STATUS_DONE) {
-                // Any other number would have undone a change that its author never saw.
+                // Any other number would mean that a change unknown to the author was undone.
                 REQUIRE(reply.table_version() == change.put_table().base_version() + 1);
                 acknowledged[change.put_table().change_id()] = reply.table_version();
             } else {
--- a/tests/ControlStateTest.cpp
+++ b/tests/ControlStateTest.cpp
@@ -8,7 +8,7 @@
 
 constexpr const char *FirstTable = "service,keyed,weight\ncatalogue,yes,1\n";
 
-/** Feeds a State with commands at growing versions. */
+/** Applies commands to a State at increasing versions. */
 struct Log {
     control::State state;
     std::uint64_t index = 0;
@@ -87,9 +87,10 @@
 
 } // namespace
 
-// Two operators edit version 1; the second one would silently undo the first one's rows. Cause: both changes name the
-// same base. The second is a conflict that names the rows and who won, and changes nothing.
-TEST_CASE("two table changes from the same base: the second is a conflict that names the rows and the winner")
+// Guards against a silent undo: two operators edit version 1, so both changes name the same base. The second one must
+// be refused as a conflict that names the differing rows and the author of the newest version, and must change nothing.
+TEST_CASE(
+    "two table changes from the same base: the second is a conflict that names the rows and the author of the first")
 {
     Log log;
     REQUIRE(log.put("a", 0, FirstTable).status() == wire::OPERATOR_STATUS_DONE);
@@ -102,8 +103,8 @@
     REQUIRE(log.state.tables().table().upstream("catalogue", "x", "y").weight == 2);
 }
 
-// An operator loses the answer to a change, another change goes in, and the first is sent again. Without change ids
-// the resend fails as a conflict with itself, or a resent mark takes back what was marked since.
+// An operator loses the answer to a change, another change is applied, and the first one is resent. Without change ids
+// the resend would fail as a conflict with itself, or a resent mark would undo a later mark.
 TEST_CASE("a resent change gets its first answer and is not applied again")
 {
     Log log;
@@ -120,7 +121,7 @@
     REQUIRE(log.state.tables().history(10).size() == 4);
 }
 
-TEST_CASE("a table that is wrong is refused with every finding and leaves the one in force")
+TEST_CASE("an invalid table is refused with every finding, and the table in force stays")
 {
     Log log;
     log.put("a", 0, FirstTable);
@@ -130,7 +131,7 @@
     REQUIRE(log.state.tables().tableVersion() == 1);
 }
 
-TEST_CASE("old tables are dropped by number and by bytes, the newest one never")
+TEST_CASE("old tables are dropped by number and by size, the newest one never")
 {
     constexpr std::size_t Megabyte = 1 << 20;
     Log log;
@@ -143,8 +144,8 @@
     REQUIRE(log.state.snapshot().size() < control::TableHistory::MaxStoredTableBytes + Megabyte);
 }
 
-// A leader that is behind proposes an owner from an older assignment; applied, it would take back a newer owner while
-// that one serves. Only the direct successor of the epoch in force is taken.
+// A leader with an outdated state proposes an owner made from an older assignment. Applied, it would replace a newer
+// owner that is serving the slice. Only the direct successor of the epoch in force is accepted.
 TEST_CASE("an assignment made from an older epoch is refused")
 {
     Log log;
@@ -154,7 +155,7 @@
     REQUIRE_FALSE(log.assign(0, 7, 2));
     REQUIRE_FALSE(log.assign(0, 9, 4));
     REQUIRE(log.state.services().at("catalogue").at(1)->second.owner == 8);
-    SECTION("a split keeps owner and epoch; a merge goes beyond both epochs")
+    SECTION("a split keeps owner and epoch; a merge gets an epoch above both")
     {
         REQUIRE(log.assign(100, 8, 2));
         REQUIRE(log.state.services().at("catalogue").slices().size() == control::State::InitialSlices + 1);
@@ -170,9 +171,9 @@
     }
 }
 
-// A caller loses the answer to a payment and sends it again through another agent. Cause: nothing tells the second
-// agent that the first one dispatched it. The claim does, whatever became of the first.
-TEST_CASE("only one attempt ever owns a claim, and a later one gets its outcome")
+// Guards against a payment that runs twice: a caller loses the answer and resends the request through another agent,
+// which sees only from the claim that the first agent may have dispatched it.
+TEST_CASE("only one attempt ever owns a claim, and later attempts get its outcome")
 {
     Log log;
     REQUIRE(log.claim("one", 5).verdict() == wire::CLAIM_VERDICT_GRANTED);
@@ -186,7 +187,7 @@
     REQUIRE(log.claim("one", 5).outcome().body() == "paid");
 }
 
-TEST_CASE("a released claim may be taken again, a full store refuses, an expired claim makes room")
+TEST_CASE("a released claim can be granted again, a full store refuses, an expired claim is removed")
 {
     Log log{control::State(1)};
     REQUIRE(log.claim("one", 5, 1000).verdict() == wire::CLAIM_VERDICT_GRANTED);
@@ -205,9 +206,9 @@
     REQUIRE(log.state.claims().size() == 0);
 }
 
-// One request crashes an upstream, its caller sends it again and it crashes the next one. Reports of the same crash,
-// sent twice, must not count as two.
-TEST_CASE("a request is quarantined after crashes of two incarnations, and leaves after a while")
+// A request crashes an upstream, its caller resends it and it crashes the next upstream. A repeated report of one crash
+// must not be counted as a second crash.
+TEST_CASE("a request is quarantined after crashes of two incarnations, and released after its expiry")
 {
     Log log;
     REQUIRE_FALSE(log.crash(42, "i1", 1000).visible);
@@ -218,7 +219,7 @@
     REQUIRE(log.apply(expire).update.released_from_quarantine(0) == 42);
 }
 
-TEST_CASE("a state restored from its snapshot answers as the one it was taken from")
+TEST_CASE("a state restored from a snapshot answers like the original state")
 {
     Log log;
     log.put("a", 0, FirstTable);
--- a/tests/InForceTest.cpp
+++ b/tests/InForceTest.cpp
@@ -24,10 +24,10 @@
 
 } // namespace
 
-TEST_CASE("what agents must have in force does not move with changes that they never hear of")
+TEST_CASE("the version that agents must have in force does not advance with changes that are not sent to them")
 {
-    // An operator marks a failure domain out that is out already, and waits until it is in force. Nothing is sent to
-    // the agents, so that the wait for the new version would never end and each agent would look cut off.
+    // An operator marks out a failure domain that is already out, and waits until the change is in force. Nothing is
+    // sent to the agents, so a wait for the new version would never end and every agent would appear disconnected.
     control::State state;
     CHECK(state.apply(at(1), markOut("one")).visible);
     CHECK_FALSE(state.apply(at(2), markOut("two")).visible);
--- a/tests/LimitAllocatorTest.cpp
+++ b/tests/LimitAllocatorTest.cpp
@@ -13,7 +13,7 @@
 constexpr const char *Name = "w";
 
 /** 100 requests in a window of 5 s. */
-table::RouteTable tableOfHundred()
+table::RouteTable tableWithLimitOfHundred()
 {
     wire::RouteTable routes;
     wire::Workspace &workspace = *routes.add_workspaces();
@@ -23,8 +23,8 @@
     return table::RouteTable(routes);
 }
 
-/** A leader that has been leading long enough to know all shares. */
-control::LimitAllocator bookAt(BootTime now)
+/** @return the allocator of a leader that has led long enough to know all shares */
+control::LimitAllocator allocatorAt(BootTime now)
 {
     control::LimitAllocator allocator;
     control::beginLeading(allocator, now - 1min);
@@ -32,87 +32,87 @@
     return allocator;
 }
 
-void tell(control::LimitAllocator &allocator,
-          const std::string &incarnationId,
-          double demand,
-          unsigned permits = 0,
-          bool first = true)
+void report(control::LimitAllocator &allocator,
+            const std::string &incarnationId,
+            double demand,
+            unsigned permits = 0,
+            bool allShares = true)
 {
     wire::Renew renew;
-    renew.set_all_shares(first);
-    wire::WorkspaceDemand &told = *renew.add_demands();
-    told.set_workspace(Name);
-    told.set_per_second(static_cast<float>(demand));
-    told.set_permits_wanted(permits);
+    renew.set_all_shares(allShares);
+    wire::WorkspaceDemand &reported = *renew.add_demands();
+    reported.set_workspace(Name);
+    reported.set_per_second(static_cast<float>(demand));
+    reported.set_permits_wanted(permits);
     control::recordDemand(allocator, incarnationId, renew, Start);
 }
 
-wire::Renewed grantedTo(control::LimitAllocator &allocator,
+wire::Renewed renewalOf(control::LimitAllocator &allocator,
                         const std::string &incarnationId,
                         BootTime now,
                         std::uint64_t sequence = 1)
 {
     wire::Renewed renewed;
     renewed.set_sequence(sequence);
-    control::grantShares(allocator, incarnationId, tableOfHundred(), now, now, renewed);
+    control::grantShares(allocator, incarnationId, tableWithLimitOfHundred(), now, now, renewed);
     return renewed;
 }
 
 } // namespace
 
-TEST_CASE("limit book: shares follow the demand, and every agent finds one request")
+TEST_CASE("limit book: shares are proportional to demand, and every agent gets at least one request")
 {
-    control::LimitAllocator allocator = bookAt(Start);
-    tell(allocator, "a", 9);
-    tell(allocator, "b", 1);
-    tell(allocator, "c", 0);
-    const double a = grantedTo(allocator, "a", Start).shares(0).share();
-    const double b = grantedTo(allocator, "b", Start).shares(0).share();
-    const double c = grantedTo(allocator, "c", Start).shares(0).share();
-    REQUIRE(a > 3 * b);
-    REQUIRE(b > c);
-    REQUIRE(c >= 0.01);
-    REQUIRE(a + b + c <= 0.75);
+    control::LimitAllocator allocator = allocatorAt(Start);
+    report(allocator, "a", 9);
+    report(allocator, "b", 1);
+    report(allocator, "c", 0);
+    const double shareOfA = renewalOf(allocator, "a", Start).shares(0).share();
+    const double shareOfB = renewalOf(allocator, "b", Start).shares(0).share();
+    const double shareOfC = renewalOf(allocator, "c", Start).shares(0).share();
+    REQUIRE(shareOfA > 3 * shareOfB);
+    REQUIRE(shareOfB > shareOfC);
+    REQUIRE(shareOfC >= 0.01);
+    REQUIRE(shareOfA + shareOfB + shareOfC <= 0.75);
 }
 
-TEST_CASE("limit book: an agent that has not told its shares gets none")
+TEST_CASE("limit book: an agent that has not reported its shares gets none")
 {
-    control::LimitAllocator allocator = bookAt(Start);
-    REQUIRE(grantedTo(allocator, "a", Start).share_lease_ms() == 0);
+    control::LimitAllocator allocator = allocatorAt(Start);
+    REQUIRE(renewalOf(allocator, "a", Start).share_lease_ms() == 0);
 }
 
-TEST_CASE("limit book: permits are handed out up to their part of the window")
+TEST_CASE("limit book: permits are granted up to their fraction of the window")
 {
-    control::LimitAllocator allocator = bookAt(Start);
-    tell(allocator, "a", 9, 20);
-    REQUIRE(grantedTo(allocator, "a", Start).shares(0).permits() == 20);
-    tell(allocator, "a", 9, 20, false);
-    REQUIRE(grantedTo(allocator, "a", Start + 1s).shares(0).permits() == 5);
-    tell(allocator, "a", 9, 20, false);
-    REQUIRE(grantedTo(allocator, "a", Start + 8s).shares(0).permits() == 20);
+    control::LimitAllocator allocator = allocatorAt(Start);
+    report(allocator, "a", 9, 20);
+    REQUIRE(renewalOf(allocator, "a", Start).shares(0).permits() == 20);
+    report(allocator, "a", 9, 20, false);
+    REQUIRE(renewalOf(allocator, "a", Start + 1s).shares(0).permits() == 5);
+    report(allocator, "a", 9, 20, false);
+    REQUIRE(renewalOf(allocator, "a", Start + 8s).shares(0).permits() == 20);
 }
 
-// Guards against two agents that use one share: the grant before a smaller one may arrive late.
-TEST_CASE("limit book: a grant that is still on its way counts beside the one after it")
+// Guards against two agents using the same share: a grant may arrive late, after a smaller one was sent.
+TEST_CASE("limit book: a grant still in flight counts until the next grant is confirmed")
 {
-    control::LimitAllocator allocator = bookAt(Start);
-    tell(allocator, "a", 9);
-    const double first = grantedTo(allocator, "a", Start, 1).shares(0).share();
-    tell(allocator, "b", 9);
-    const double second = grantedTo(allocator, "a", Start, 2).shares(0).share();
+    control::LimitAllocator allocator = allocatorAt(Start);
+    report(allocator, "a", 9);
+    const double first = renewalOf(allocator, "a", Start, 1).shares(0).share();
+    report(allocator, "b", 9);
+    const double second = renewalOf(allocator, "a", Start, 2).shares(0).share();
     REQUIRE(second < first);
-    REQUIRE(first + grantedTo(allocator, "b", Start, 1).shares(0).share() <= 0.76);
+    REQUIRE(first + renewalOf(allocator, "b", Start, 1).shares(0).share() <= 0.76);
 }
 
-TEST_CASE("limit book: a share of a process that ended is kept for the next one of that agent")
+TEST_CASE("limit book: the share of a process that ended is reserved for the next process of that agent")
 {
-    control::LimitAllocator allocator = bookAt(Start);
-    tell(allocator, "a 1", 9);
-    const double before = grantedTo(allocator, "a 1", Start).shares(0).share();
+    control::LimitAllocator allocator = allocatorAt(Start);
+    report(allocator, "a 1", 9);
+    const double before = renewalOf(allocator, "a 1", Start).shares(0).share();
     control::transferShares(allocator, "a 1", "a 2", Start);
-    tell(allocator, "b", 9);
-    grantedTo(allocator, "b", Start);
-    tell(allocator, "a 2", 9);
-    REQUIRE(grantedTo(allocator, "a 2", Start).shares(0).share() >= before / 2);
+    report(allocator, "b", 9);
+    renewalOf(allocator, "b", Start);
+    report(allocator, "a 2", 9);
+    REQUIRE(renewalOf(allocator, "a 2", Start).shares(0).share() >= before / 2);
     REQUIRE(allocator.reserves[Name].outstanding <= 0.76);
 }
--- a/tests/LimitExplorerTest.cpp
+++ b/tests/LimitExplorerTest.cpp
@@ -16,12 +16,12 @@
 
 namespace {
 
-/** Guards that a world may lack, to show that the explorer finds what they prevent. */
-enum class Without { Nothing, Confirmation, WaitOfNewLeader, EndOfLease, CoolDown, FirstWindow, CountOfPermits };
+/** Guard that a simulation leaves out, to show that the exploration finds the violation that the guard prevents. */
+enum class RemovedGuard { None, Confirmation, NewLeaderWait, LeaseExpiry, CoolDown, FirstWindow, PermitCount };
 
 enum class Event {
-    DrainFirst,
-    DrainSecond,
+    SendThroughFirst,
+    SendThroughSecond,
     RenewFirst,
     RenewSecond,
     DeliverToLeader,
@@ -31,18 +31,18 @@
     RestartFirst,
     ChangeLeader,
     ChangeLimit,
-    PassTime,
-    PassLease,
+    AdvanceTime,
+    AdvancePastLease,
     Count
 };
 
 constexpr auto EventCount = static_cast<unsigned>(Event::Count);
-constexpr std::size_t Agents = 2;
+constexpr std::size_t AgentCount = 2;
 constexpr const char *Name = "w";
 constexpr double HighRate = 20;
 constexpr double LowRate = 10;
 constexpr double Burst = 10;
-constexpr unsigned RequestsADrain = 25;
+constexpr unsigned RequestsPerSend = 25;
 constexpr std::chrono::milliseconds Window = 1s;
 
 table::RouteTable tableWith(double rate)
@@ -56,35 +56,35 @@
     return table::RouteTable(routes);
 }
 
-/** Two agents and a leader that run the real functions; every drain lets through all that an agent may. */
-class World
+/** Two agents and a leader that run the real functions; every send offers more requests than an agent may admit. */
+class Simulation
 {
 public:
-    explicit World(Without without)
-        : without(without)
+    explicit Simulation(RemovedGuard removedGuard)
+        : removedGuard(removedGuard)
     {
         this->allocator.settings.bounds.window = Window;
         this->allocator.settings.lease = 2s;
-        this->allocator.settings.permit = 300ms;
+        this->allocator.settings.permitDuration = 300ms;
         this->allocator.settings.drift = 100ms;
-        for (Side &side : this->sides) {
-            side.shares.bounds.window = Window;
+        for (SimulatedAgent &simulated : this->agents) {
+            simulated.shares.bounds.window = Window;
         }
         control::beginLeading(this->allocator, this->now);
-        for (std::size_t number = 0; number < Agents; ++number) {
+        for (std::size_t number = 0; number < AgentCount; ++number) {
             this->connect(number);
         }
     }
 
-    void happen(Event event)
+    void apply(Event event)
     {
         this->now += 10ms;
         switch (event) {
-        case Event::DrainFirst:
-            this->drain(0);
+        case Event::SendThroughFirst:
+            this->send(0);
             break;
-        case Event::DrainSecond:
-            this->drain(1);
+        case Event::SendThroughSecond:
+            this->send(1);
             break;
         case Event::RenewFirst:
             this->renew(0);
@@ -109,216 +109,221 @@
             break;
         case Event::ChangeLeader:
             control::beginLeading(this->allocator, this->now);
-            this->toLeader.clear();
-            for (std::size_t number = 0; number < Agents; ++number) {
+            this->messagesToLeader.clear();
+            for (std::size_t number = 0; number < AgentCount; ++number) {
                 this->connect(number);
             }
             break;
         case Event::ChangeLimit:
             this->rate = this->rate == HighRate ? LowRate : HighRate;
             break;
-        case Event::PassTime:
-            this->pass(300ms);
+        case Event::AdvanceTime:
+            this->advance(300ms);
             break;
-        case Event::PassLease:
-            this->pass(2200ms);
+        case Event::AdvancePastLease:
+            this->advance(2200ms);
             break;
         case Event::Count:
             break;
         }
     }
 
-    std::optional<std::string> broken;
+    std::optional<std::string> violation;
     unsigned admitted = 0;
 
 private:
-    struct Side {
+    struct SimulatedAgent {
         agent::LimitShares shares;
-        std::deque<wire::Renewed> received;
+        std::deque<wire::Renewed> pendingAnswers;
         std::map<std::uint64_t, BootTime> sentAt;
-        unsigned life = 0;
+        unsigned incarnation = 0;
         std::uint64_t sequence = 0;
     };
 
-    struct Sent {
-        std::size_t side;
+    struct SentRenewal {
+        std::size_t agentNumber;
         unsigned session;
         wire::Renew renew;
     };
 
-    std::string life(std::size_t number) const
+    std::string incarnationIdOf(std::size_t number) const
     {
-        return std::to_string(number) + " " + std::to_string(this->sides.at(number).life);
+        return std::to_string(number) + " " + std::to_string(this->agents.at(number).incarnation);
     }
 
     void connect(std::size_t number)
     {
-        Side &side = this->sides.at(number);
-        side.received.clear();
-        side.sentAt.clear();
-        std::erase_if(this->toLeader, [&](const Sent &sent) {
-            return sent.side == number;
+        SimulatedAgent &simulated = this->agents.at(number);
+        simulated.pendingAnswers.clear();
+        simulated.sentAt.clear();
+        std::erase_if(this->messagesToLeader, [&](const SentRenewal &sent) {
+            return sent.agentNumber == number;
         });
-        agent::beginLimitSession(side.shares);
+        agent::beginLimitSession(simulated.shares);
         this->renew(number);
     }
 
     void restartFirst()
     {
-        const std::string ended = this->life(0);
-        Side &side = this->sides[0];
-        ++side.life;
-        control::transferShares(this->allocator, ended, this->life(0), this->now);
-        side.shares = {};
-        side.shares.bounds.window = Window;
-        side.shares.startedAt = this->without == Without::FirstWindow ? BootTime() : this->now;
+        const std::string ended = this->incarnationIdOf(0);
+        SimulatedAgent &simulated = this->agents[0];
+        ++simulated.incarnation;
+        control::transferShares(this->allocator, ended, this->incarnationIdOf(0), this->now);
+        simulated.shares = {};
+        simulated.shares.bounds.window = Window;
+        simulated.shares.startedAt = this->removedGuard == RemovedGuard::FirstWindow ? BootTime() : this->now;
         this->connect(0);
     }
 
-    void drain(std::size_t number)
+    void send(std::size_t number)
     {
-        Side &side = this->sides.at(number);
+        SimulatedAgent &simulated = this->agents.at(number);
         const table::RouteTable routes = tableWith(this->rate);
-        if (this->without == Without::EndOfLease) {
-            side.shares.validUntil = this->now + 1h;
+        if (this->removedGuard == RemovedGuard::LeaseExpiry) {
+            simulated.shares.validUntil = this->now + 1h;
         }
-        for (unsigned request = 0; request < RequestsADrain; ++request) {
-            const auto decision = agent::admit(side.shares, *routes.workspace(Name), this->now);
+        for (unsigned request = 0; request < RequestsPerSend; ++request) {
+            const auto decision = agent::admit(simulated.shares, *routes.workspace(Name), this->now);
             if (agent::isAdmitted(decision)) {
-                this->times.push_back(this->now);
+                this->admittedAt.push_back(this->now);
                 ++this->admitted;
             }
         }
-        const auto first = std::upper_bound(this->times.begin(), this->times.end(), this->now - Window);
-        const double most = HighRate * std::chrono::duration<double>(Window).count() + Burst;
-        if (static_cast<double>(this->times.end() - first) > most) {
-            this->broken = "more than the limit was let through";
+        const auto first = std::upper_bound(this->admittedAt.begin(), this->admittedAt.end(), this->now - Window);
+        const double maxRequests = HighRate * std::chrono::duration<double>(Window).count() + Burst;
+        if (static_cast<double>(this->admittedAt.end() - first) > maxRequests) {
+            this->violation = "admitted more requests than the limit allows";
         }
     }
 
     void renew(std::size_t number)
     {
-        Side &side = this->sides.at(number);
-        Sent sent{number, 0, {}};
-        sent.renew.set_sequence(++side.sequence);
-        side.sentAt[side.sequence] = this->now;
-        agent::reportDemand(side.shares, sent.renew, true, this->now);
-        this->toLeader.push_back(std::move(sent));
+        SimulatedAgent &simulated = this->agents.at(number);
+        SentRenewal sent{number, 0, {}};
+        sent.renew.set_sequence(++simulated.sequence);
+        simulated.sentAt[simulated.sequence] = this->now;
+        agent::reportDemand(simulated.shares, sent.renew, true, this->now);
+        this->messagesToLeader.push_back(std::move(sent));
     }
 
     void deliverToLeader()
     {
-        if (this->toLeader.empty()) {
+        if (this->messagesToLeader.empty()) {
             return;
         }
-        const Sent sent = this->toLeader.front();
-        this->toLeader.pop_front();
+        const SentRenewal sent = this->messagesToLeader.front();
+        this->messagesToLeader.pop_front();
         control::expireLimits(this->allocator, this->now);
-        control::recordDemand(this->allocator, this->life(sent.side), sent.renew, this->now);
-        const bool all =
-            this->without == Without::WaitOfNewLeader
-            || (control::isKnown(this->allocator, this->life(0)) && control::isKnown(this->allocator, this->life(1)));
-        control::updateAllSharesKnown(this->allocator, all, this->now);
+        control::recordDemand(this->allocator, this->incarnationIdOf(sent.agentNumber), sent.renew, this->now);
+        const bool allKnown = this->removedGuard == RemovedGuard::NewLeaderWait
+                              || (control::isKnown(this->allocator, this->incarnationIdOf(0))
+                                  && control::isKnown(this->allocator, this->incarnationIdOf(1)));
+        control::updateAllSharesKnown(this->allocator, allKnown, this->now);
         wire::Renewed renewed;
         renewed.set_sequence(sent.renew.sequence());
-        control::grantShares(
-            this->allocator, this->life(sent.side), tableWith(this->rate), this->now, this->now, renewed);
-        if (this->without == Without::Confirmation) {
+        control::grantShares(this->allocator,
+                             this->incarnationIdOf(sent.agentNumber),
+                             tableWith(this->rate),
+                             this->now,
+                             this->now,
+                             renewed);
+        if (this->removedGuard == RemovedGuard::Confirmation) {
             wire::Renew confirmed;
             confirmed.set_shares_applied(renewed.sequence());
-            control::recordDemand(this->allocator, this->life(sent.side), confirmed, this->now);
+            control::recordDemand(this->allocator, this->incarnationIdOf(sent.agentNumber), confirmed, this->now);
         }
-        if (this->without == Without::CoolDown) {
-            for (control::ReturnedShare &returned : this->allocator.reserves[Name].returned) {
-                returned.freeAt = this->now;
+        if (this->removedGuard == RemovedGuard::CoolDown) {
+            for (control::ReturnedShare &returned : this->allocator.allocations[Name].returned) {
+                returned.availableAt = this->now;
             }
         }
-        if (this->without == Without::CountOfPermits) {
-            this->allocator.reserves[Name].permits = 0;
-            this->allocator.reserves[Name].grantedPermits.clear();
+        if (this->removedGuard == RemovedGuard::PermitCount) {
+            this->allocator.allocations[Name].outstandingPermits = 0;
+            this->allocator.allocations[Name].grantedPermits.clear();
         }
-        this->sides.at(sent.side).received.push_back(std::move(renewed));
+        this->agents.at(sent.agentNumber).pendingAnswers.push_back(std::move(renewed));
     }
 
     void deliverTo(std::size_t number)
     {
-        Side &side = this->sides.at(number);
-        if (side.received.empty()) {
+        SimulatedAgent &simulated = this->agents.at(number);
+        if (simulated.pendingAnswers.empty()) {
             return;
         }
-        const wire::Renewed renewed = side.received.front();
-        side.received.pop_front();
-        agent::applyShares(side.shares, renewed, side.sentAt.at(renewed.sequence()), this->now);
+        const wire::Renewed renewed = simulated.pendingAnswers.front();
+        simulated.pendingAnswers.pop_front();
+        agent::applyShares(simulated.shares, renewed, simulated.sentAt.at(renewed.sequence()), this->now);
     }
 
-    void pass(BootClock::duration time)
+    void advance(BootClock::duration time)
     {
         this->now += time;
     }
 
-    const Without without;
+    const RemovedGuard removedGuard;
     BootTime now{100s};
     double rate = HighRate;
     control::LimitAllocator allocator;
-    std::array<Side, Agents> sides;
-    std::deque<Sent> toLeader;
-    std::deque<BootTime> times;
+    std::array<SimulatedAgent, AgentCount> agents;
+    std::deque<SentRenewal> messagesToLeader;
+    std::deque<BootTime> admittedAt;
 };
 
 using Sequence = std::vector<Event>;
 
-/** Ends with both agents letting through what they may. */
-std::optional<std::string> play(const Sequence &events, Without without, unsigned &admitted)
+/** Applies the events, and finally sends requests through both agents. @return the violation, if any */
+std::optional<std::string> run(const Sequence &events, RemovedGuard removedGuard, unsigned &admitted)
 {
-    World world(without);
+    Simulation simulation(removedGuard);
     for (const Event event : events) {
-        world.happen(event);
+        simulation.apply(event);
     }
-    world.happen(Event::DrainFirst);
-    world.happen(Event::DrainSecond);
-    admitted += world.admitted;
-    return world.broken;
+    simulation.apply(Event::SendThroughFirst);
+    simulation.apply(Event::SendThroughSecond);
+    admitted += simulation.admitted;
+    return simulation.violation;
 }
 
-std::optional<std::string> explore(unsigned depth, Without without, unsigned &admitted)
+std::optional<std::string> explore(unsigned depth, RemovedGuard removedGuard, unsigned &admitted)
 {
-    Sequence events(depth, Event::DrainFirst);
+    Sequence events(depth, Event::SendThroughFirst);
     while (true) {
-        if (auto broken = play(events, without, admitted)) {
-            return broken;
+        if (auto violation = run(events, removedGuard, admitted)) {
+            return violation;
         }
-        std::size_t place = 0;
-        while (place < depth && static_cast<unsigned>(events[place]) + 1 == EventCount) {
-            events[place++] = Event::DrainFirst;
+        std::size_t position = 0;
+        while (position < depth && static_cast<unsigned>(events[position]) + 1 == EventCount) {
+            events[position++] = Event::SendThroughFirst;
         }
-        if (place == depth) {
+        if (position == depth) {
             return std::nullopt;
         }
-        events[place] = static_cast<Event>(static_cast<unsigned>(events[place]) + 1);
+        events[position] = static_cast<Event>(static_cast<unsigned>(events[position]) + 1);
     }
 }
 
-constexpr std::array Usual{Event::DrainFirst,
-                           Event::DrainSecond,
-                           Event::RenewFirst,
-                           Event::RenewSecond,
-                           Event::DeliverToLeader,
-                           Event::DeliverToLeader,
-                           Event::DeliverToFirst,
-                           Event::DeliverToSecond,
-                           Event::PassTime};
+constexpr std::array FrequentEvents{Event::SendThroughFirst,
+                                    Event::SendThroughSecond,
+                                    Event::RenewFirst,
+                                    Event::RenewSecond,
+                                    Event::DeliverToLeader,
+                                    Event::DeliverToLeader,
+                                    Event::DeliverToFirst,
+                                    Event::DeliverToSecond,
+                                    Event::AdvanceTime};
 
-std::optional<std::string> playSeeds(unsigned first, unsigned last, Without without, unsigned &admitted)
+std::optional<std::string> runSeeds(unsigned first, unsigned last, RemovedGuard removedGuard, unsigned &admitted)
 {
     for (unsigned seed = first; seed <= last; ++seed) {
         pcg32 random(seed);
-        Sequence events(120, Event::DrainFirst);
+        Sequence events(120, Event::SendThroughFirst);
         for (Event &event : events) {
-            // Messages arrive more often than anything breaks.
-            event = random(3) == 0 ? static_cast<Event>(random(EventCount)) : Usual[random(Usual.size())];
+            // Messages are delivered more often than faults occur.
+            event =
+                random(3) == 0 ? static_cast<Event>(random(EventCount)) : FrequentEvents[random(FrequentEvents.size())];
         }
-        if (auto broken = play(events, without, admitted)) {
-            return *broken + ", seed " + std::to_string(seed);
+        if (auto violation = run(events, removedGuard, admitted)) {
+            return *violation + ", seed " + std::to_string(seed);
         }
     }
     return std::nullopt;
@@ -326,34 +331,34 @@
 
 } // namespace
 
-TEST_CASE("limits are kept whatever the order of requests, grants, restarts and leaders")
+TEST_CASE("limits are kept in any order of requests, grants, restarts and leader changes")
 {
     unsigned admitted = 0;
-    REQUIRE(explore(4, Without::Nothing, admitted) == std::nullopt);
+    REQUIRE(explore(4, RemovedGuard::None, admitted) == std::nullopt);
 }
 
 TEST_CASE("limits are kept in long sequences of events, by seed")
 {
     unsigned admitted = 0;
-    REQUIRE(playSeeds(1, 3000, Without::Nothing, admitted) == std::nullopt);
+    REQUIRE(runSeeds(1, 3000, RemovedGuard::None, admitted) == std::nullopt);
     REQUIRE(admitted > 10000);
 }
 
-TEST_CASE("limits: the exploration finds each guard that is taken out")
+TEST_CASE("limits: the exploration finds a violation for each guard that is removed")
 {
     struct Search {
-        Without without;
-        /** Seeds below show nothing; some guards matter in few sequences. */
+        RemovedGuard removedGuard;
+        /** Seeds below it show no violation; some guards matter in few sequences. */
         unsigned firstSeed;
     };
     constexpr unsigned Seeds = 2000;
-    const auto search = GENERATE(Search{Without::Confirmation, 64001},
-                                 Search{Without::WaitOfNewLeader, 14001},
-                                 Search{Without::EndOfLease, 1},
-                                 Search{Without::CoolDown, 4001},
-                                 Search{Without::FirstWindow, 1},
-                                 Search{Without::CountOfPermits, 1});
-    CAPTURE(static_cast<int>(search.without));
+    const auto search = GENERATE(Search{RemovedGuard::Confirmation, 64001},
+                                 Search{RemovedGuard::NewLeaderWait, 14001},
+                                 Search{RemovedGuard::LeaseExpiry, 1},
+                                 Search{RemovedGuard::CoolDown, 4001},
+                                 Search{RemovedGuard::FirstWindow, 1},
+                                 Search{RemovedGuard::PermitCount, 1});
+    CAPTURE(static_cast<int>(search.removedGuard));
     unsigned admitted = 0;
-    REQUIRE(playSeeds(search.firstSeed, search.firstSeed + Seeds, search.without, admitted) != std::nullopt);
+    REQUIRE(runSeeds(search.firstSeed, search.firstSeed + Seeds, search.removedGuard, admitted) != std::nullopt);
 }
--- a/tests/UpdateBatchTest.cpp
+++ b/tests/UpdateBatchTest.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-wire::StateUpdate at(std::uint64_t index)
+wire::StateUpdate updateAt(std::uint64_t index)
 {
     wire::StateUpdate update;
     update.mutable_version()->set_term(1);
@@ -18,7 +18,7 @@
     return update;
 }
 
-void own(wire::StateUpdate &update, std::uint64_t begin, std::uint32_t owner, std::uint64_t epoch)
+void addSlice(wire::StateUpdate &update, std::uint64_t begin, std::uint32_t owner, std::uint64_t epoch)
 {
     wire::ServiceSlices &service = *update.add_services();
     service.set_service("enrolments");
@@ -30,27 +30,27 @@
 
 } // namespace
 
-TEST_CASE("a merged update leaves an agent where the single ones would")
+TEST_CASE("a merged update leaves an agent in the same state as the single updates")
 {
-    wire::StateUpdate first = at(1);
+    wire::StateUpdate first = updateAt(1);
     first.mutable_table()->set_table_version(1);
     first.mutable_table()->add_failure_domains_out("gc-a");
-    own(first, 0, 1, 1);
+    addSlice(first, 0, 1, 1);
     first.add_quarantined(7);
     first.add_quarantined(8);
-    wire::StateUpdate second = at(2);
+    wire::StateUpdate second = updateAt(2);
     second.mutable_table()->set_table_version(2);
     second.mutable_table()->add_failure_domains_out("bne-a");
-    own(second, 0, 2, 2);
+    addSlice(second, 0, 2, 2);
     second.add_released_from_quarantine(7);
-    wire::StateUpdate third = at(3);
-    own(third, 100, 3, 1);
+    wire::StateUpdate third = updateAt(3);
+    addSlice(third, 100, 3, 1);
     third.add_quarantined(9);
 
-    agent::RouteMap single;
+    agent::RouteMap appliedSingly;
     control::UpdateBatch batch;
     for (const wire::StateUpdate &update : {first, second, third}) {
-        agent::apply(single, update);
+        agent::apply(appliedSingly, update);
         control::add(batch, update);
     }
     REQUIRE(control::movesSlices(batch));
@@ -59,21 +59,21 @@
     REQUIRE(batch.empty);
     REQUIRE(merged.version.index() == 3);
     REQUIRE(merged.tableVersion == 2);
-    REQUIRE(merged.failureDomainsOut == single.failureDomainsOut);
+    REQUIRE(merged.failureDomainsOut == appliedSingly.failureDomainsOut);
     REQUIRE(merged.failureDomainsOut.size() == 1);
-    REQUIRE(merged.quarantined == single.quarantined);
+    REQUIRE(merged.quarantined == appliedSingly.quarantined);
     REQUIRE(merged.quarantined.size() == 2);
     const auto &slices = merged.slices.at("enrolments");
     REQUIRE(slices.size() == 2);
-    REQUIRE(slices.size() == single.slices.at("enrolments").size());
+    REQUIRE(slices.size() == appliedSingly.slices.at("enrolments").size());
 }
 
 TEST_CASE("a fingerprint quarantined again after its release stays quarantined")
 {
     control::UpdateBatch batch;
-    wire::StateUpdate released = at(1);
+    wire::StateUpdate released = updateAt(1);
     released.add_released_from_quarantine(7);
-    wire::StateUpdate again = at(2);
+    wire::StateUpdate again = updateAt(2);
     again.add_quarantined(7);
     control::add(batch, released);
     control::add(batch, again);
@@ -82,10 +82,10 @@
     REQUIRE(map.quarantined.size() == 1);
 }
 
-// Every agent loses its lease, again and again, after a start of the whole fleet.
-// Order: hundreds of agents join; each registration is sent to each agent; the leader's loop is busy for longer than
-// an election timeout; the next leader meets the same agents. Cause: messages grow with the square of the agents.
-TEST_CASE("control: a hundred registrations at once are one update to each agent, not a hundred")
+// Guards against agents losing their leases repeatedly after the whole fleet starts. Hundreds of agents join at once
+// and each registration is sent to each agent, so that the number of messages grows with the square of the number of
+// agents. The leader's loop is then busy for longer than an election timeout, and the next leader has the same load.
+TEST_CASE("control: a hundred simultaneous registrations are merged into one update for each agent")
 {
     control::State state;
     control::Coordinator coordinator(control::CoordinatorSettings{}, state);
@@ -97,7 +97,7 @@
     coordinator.confirmed(true, now);
     coordinator.tick(now);
     coordinator.takeActions();
-    unsigned sent = 0;
+    unsigned updatesSent = 0;
     for (std::uint64_t index = 1; index <= 100; ++index) {
         wire::Command command;
         command.mutable_put_upstream()->mutable_upstream()->set_service("catalogue");
@@ -112,10 +112,10 @@
     std::size_t upstreams = 0;
     for (const control::Action &action : coordinator.takeActions()) {
         if (const auto *const send = std::get_if<control::SendAction>(&action); send != nullptr) {
-            sent += send->message->has_update() ? 1 : 0;
+            updatesSent += send->message->has_update() ? 1 : 0;
             upstreams += static_cast<std::size_t>(send->message->update().upstreams_size());
         }
     }
     REQUIRE(upstreams == 100);
-    REQUIRE(sent == 2);
+    REQUIRE(updatesSent == 2);
 }
