--- a/include/control/LimitAllocator.h
+++ b/include/control/LimitAllocator.h
@@ -96,8 +96,9 @@
  * Guards against a limit that is exceeded while shares are reassigned: in no window do shares and permits add up to
  * more than the whole limit. What an agent gives up when its share shrinks is available to others one window after the
  * agent has confirmed the smaller share or its lease has expired. A new leader collects the shares from the agents'
- * reports, and grants more only once all agents have reported or all leases of its predecessor have expired. Volatile;
- * owned by the coordinator.
+ * reports, and grants more only once all agents have reported or all leases of its predecessor have expired.
+ *
+ * Volatile; owned by the coordinator.
  */
 struct LimitAllocator {
     LimitAllocatorSettings settings;
@@ -110,7 +111,7 @@
     BootTime leaderSince;
 };
 
-/** Clears all records, since a new leader knows no shares yet. */
+/** Clears all records and starts the allocation of a new leader, which knows no shares yet. */
 void beginLeading(LimitAllocator &allocator, BootTime now);
 
 /**
--- a/src/control/ClaimStore.cpp
+++ b/src/control/ClaimStore.cpp
@@ -132,7 +132,7 @@
     this->answerBytes = 0;
     for (const wire::ClaimRecord &record : from.claims()) {
         const ClaimKey key(record.request().service(), record.request().idempotency_key());
-        this->claims.emplace(name, record);
+        this->claims.emplace(key, record);
         this->claimsByTime.emplace(fromUnixMillis(record.request().unix_ms()), key);
         this->answerBytes += record.outcome().body().size();
     }
--- a/src/control/LimitAllocator.cpp
+++ b/src/control/LimitAllocator.cpp
@@ -81,8 +81,8 @@
 
 void reclaimAll(LimitAllocator &allocator, AgentShares &agent, BootTime now)
 {
-    for (const auto &[workspace, record] : agent.workspaces) {
-        LimitAllocation &allocation = allocator.allocations[workspace];
+    for (const auto &[workspaceName, record] : agent.workspaces) {
+        LimitAllocation &allocation = allocator.allocations[workspaceName];
         subtractFromTotals(allocation, record);
         startCoolDown(allocator, allocation, outstanding(record), now);
     }
@@ -92,8 +92,8 @@
 void dropInherited(LimitAllocator &allocator, AgentShares &agent)
 {
     agent.inheritedUntil = {};
-    for (auto &[workspace, record] : agent.workspaces) {
-        LimitAllocation &allocation = allocator.allocations[workspace];
+    for (auto &[workspaceName, record] : agent.workspaces) {
+        LimitAllocation &allocation = allocator.allocations[workspaceName];
         subtractFromTotals(allocation, record);
         record.inheritedShare = 0;
         addToTotals(allocation, record);
@@ -103,13 +103,13 @@
 /** Keeps counting the share that an agent held of a workspace before it reported all its shares again. */
 void carryOver(LimitAllocator &allocator,
                AgentShares &agent,
-               const std::string &workspace,
+               const std::string &workspaceName,
                const ShareRecord &previous,
                BootTime now)
 {
-    const auto [entry, added] = agent.workspaces.try_emplace(workspace);
+    const auto [entry, added] = agent.workspaces.try_emplace(workspaceName);
     ShareRecord &record = entry->second;
-    LimitAllocation &allocation = allocator.allocations[workspace];
+    LimitAllocation &allocation = allocator.allocations[workspaceName];
     if (!added) {
         subtractFromTotals(allocation, record);
     }
@@ -119,10 +119,7 @@
     startCoolDown(allocator, allocation, outstanding(previous) - outstanding(record), now);
 }
 
-/**
- * @return the number of requests rounded to a whole number: up for a part of the agents that equals its fractional
- *         part, chosen by hash, else down
- */
+/** Rounds a number of requests: up for a proportion of the agents, chosen by hash, equal to its fractional part. */
 double wholeRequests(double requests, const std::string &incarnationId, const std::string &workspace)
 {
     const std::uint64_t hash =
@@ -144,9 +141,9 @@
 }
 
 /** @return fraction of a limit that all shares together may take now */
-double sharedFraction(const LimitAllocator &allocator, double limit, BootTime now)
+double sharedFraction(const LimitAllocator &allocator, double maxRequests, BootTime now)
 {
-    const double oneRequestEach = static_cast<double>(allocator.agents.size()) / (GrantedFraction * limit);
+    const double oneRequestEach = static_cast<double>(allocator.agents.size()) / (GrantedFraction * maxRequests);
     return oneRequestEach > MaxSharedFraction || mayHaveEarlierPermits(allocator, now)
                ? SharedFraction
                : std::max(SharedFraction, oneRequestEach);
@@ -181,8 +178,8 @@
     if (mayHaveEarlierPermits(allocator, now)) {
         return 0;
     }
-    const double limit = table::maxInWindow(workspace, allocator.settings.bounds);
-    const double maxPermits = (1 - std::max(SharedFraction, allocation.outstanding)) * limit;
+    const double windowLimit = table::maxInWindow(workspace, allocator.settings.bounds);
+    const double maxPermits = (1 - std::max(SharedFraction, allocation.outstanding)) * windowLimit;
     const double freePermits = std::max(0.0, maxPermits - allocation.outstandingPermits);
     const bool grantsExtra = std::exchange(record.wantsExtraPermit, false)
                              && freePermits - permitsWanted > ExtraPermitMinFreeFraction * maxPermits;
@@ -197,25 +194,28 @@
 /** Grants an agent's share and permits of one workspace. */
 void grantWorkspace(LimitAllocator &allocator,
                     const std::string &incarnationId,
-                    const std::string &name,
+                    const std::string &workspaceName,
                     const table::Workspace *workspace,
                     ShareRecord &record,
                     BootTime now,
                     wire::Renewed &renewed)
 {
-    LimitAllocation &allocation = allocator.allocations[name];
+    LimitAllocation &allocation = allocator.allocations[workspaceName];
     dropExpired(allocation, now);
     const bool hasLimit = workspace != nullptr && table::isLimited(*workspace);
-    const double limit = hasLimit ? table::maxInWindow(*workspace, allocator.settings.bounds) : 1;
-    const double maxShared = sharedFraction(allocator, limit, now);
+    const double windowLimit = hasLimit ? table::maxInWindow(*workspace, allocator.settings.bounds) : 1;
+    const double maxShared = sharedFraction(allocator, windowLimit, now);
     const double requests =
-        hasLimit ? wholeRequests(targetRequests(allocator, allocation, record, maxShared * limit), incarnationId, name)
+        hasLimit ? wholeRequests(
+            targetRequests(allocator, allocation, record, maxShared * windowLimit), incarnationId, workspaceName)
                  : 0;
     const double previousShare = outstanding(record);
-    const double unallocated = std::min(maxShared, 1 - allocation.outstandingPermits / limit) - allocation.outstanding;
+    const double unallocated =
+        std::min(maxShared, 1 - allocation.outstandingPermits / windowLimit) - allocation.outstanding;
     const double availableShare = allocator.allSharesKnown ? std::max(0.0, unallocated) : 0;
     const double share =
-        std::floor(std::min(requests / limit, previousShare + availableShare) * limit + RoundingTolerance) / limit;
+        std::floor(std::min(requests / windowLimit, previousShare + availableShare) * windowLimit + RoundingTolerance)
+        / windowLimit;
     const bool shouldChange =
         share > GrowthThreshold * record.grantedShare || share < ShrinkThreshold * record.grantedShare;
     if (shouldChange) {
@@ -231,7 +231,7 @@
         return;
     }
     wire::WorkspaceShare &granted = *renewed.add_shares();
-    granted.set_workspace(name);
+    granted.set_workspace(workspaceName);
     granted.set_permits(permits);
     if (shouldChange) {
         granted.set_share(share);
@@ -244,9 +244,9 @@
     if (routes.workspaces().size() > MaxUniformWorkspaces || agent.workspaces.size() >= routes.workspaces().size()) {
         return;
     }
-    for (const auto &[name, workspace] : routes.workspaces()) {
-        if (table::isLimited(workspace) && agent.workspaces.try_emplace(name).second) {
-            ++allocator.allocations[name].agentCount;
+    for (const auto &[workspaceName, workspace] : routes.workspaces()) {
+        if (table::isLimited(workspace) && agent.workspaces.try_emplace(workspaceName).second) {
+            ++allocator.allocations[workspaceName].agentCount;
         }
     }
 }
@@ -277,8 +277,8 @@
     if (renew.all_shares()) {
         AgentShares &agent = allocator.agents[incarnationId];
         previousRecords.swap(agent.workspaces);
-        for (const auto &[workspace, record] : previousRecords) {
-            subtractFromTotals(allocator.allocations[workspace], record);
+        for (const auto &[workspaceName, record] : previousRecords) {
+            subtractFromTotals(allocator.allocations[workspaceName], record);
         }
         agent.validUntil = std::max(agent.validUntil, now + allocator.settings.lease + allocator.settings.drift);
     }
@@ -303,12 +303,12 @@
         }
         addToTotals(allocation, record);
     }
-    for (const auto &[workspace, record] : previousRecords) {
-        carryOver(allocator, agent, workspace, record, now);
+    for (const auto &[workspaceName, record] : previousRecords) {
+        carryOver(allocator, agent, workspaceName, record, now);
     }
-    for (auto &[workspace, record] : agent.workspaces) {
+    for (auto &[workspaceName, record] : agent.workspaces) {
         if (record.confirmedShare != record.grantedShare && record.grantSequence <= renew.shares_applied()) {
-            LimitAllocation &allocation = allocator.allocations[workspace];
+            LimitAllocation &allocation = allocator.allocations[workspaceName];
             subtractFromTotals(allocation, record);
             startCoolDown(allocator, allocation, record.confirmedShare - record.grantedShare, now);
             record.confirmedShare = record.grantedShare;
@@ -326,8 +326,8 @@
     AgentShares agent = std::move(found->second);
     allocator.agents.erase(found);
     agent.inheritedUntil = now + allocator.settings.bounds.window + allocator.settings.drift;
-    for (auto &[workspace, record] : agent.workspaces) {
-        LimitAllocation &allocation = allocator.allocations[workspace];
+    for (auto &[workspaceName, record] : agent.workspaces) {
+        LimitAllocation &allocation = allocator.allocations[workspaceName];
         subtractFromTotals(allocation, record);
         record.inheritedShare = outstanding(record);
         record.confirmedShare = 0;
--- a/src/control/State.cpp
+++ b/src/control/State.cpp
@@ -162,7 +162,7 @@
 
 void State::reportCrash(const wire::ReportCrash &crash, Applied &applied)
 {
-    for (const std::uint64_t fingerprint : this->quarantineStore.report(crash)) {
+    for (const std::uint64_t fingerprint : this->quarantineStore.recordCrash(crash)) {
         applied.update.add_quarantined(fingerprint);
         applied.visible = true;
     }
--- a/tests/ControlStateTest.cpp
+++ b/tests/ControlStateTest.cpp
@@ -121,7 +121,7 @@
     REQUIRE(log.state.tables().history(10).size() == 4);
 }
 
-TEST_CASE("an invalid table is refused with every finding, and the table in force stays")
+TEST_CASE("a table that is wrong is refused with every finding and leaves the one in force")
 {
     Log log;
     log.put("a", 0, FirstTable);
@@ -131,7 +131,7 @@
     REQUIRE(log.state.tables().tableVersion() == 1);
 }
 
-TEST_CASE("old tables are dropped by number and by size, the newest one never")
+TEST_CASE("old tables are dropped by number and by bytes, the newest one never")
 {
     constexpr std::size_t Megabyte = 1 << 20;
     Log log;
@@ -173,7 +173,7 @@
 
 // Guards against a payment that runs twice: a caller loses the answer and resends the request through another agent,
 // which sees only from the claim that the first agent may have dispatched it.
-TEST_CASE("only one attempt ever owns a claim, and later attempts get its outcome")
+TEST_CASE("only one attempt ever owns a claim, and a later one gets its outcome")
 {
     Log log;
     REQUIRE(log.claim("one", 5).verdict() == wire::CLAIM_VERDICT_GRANTED);
@@ -219,7 +219,7 @@
     REQUIRE(log.apply(expire).update.released_from_quarantine(0) == 42);
 }
 
-TEST_CASE("a state restored from a snapshot answers like the original state")
+TEST_CASE("a state restored from its snapshot answers like the one that it was taken from")
 {
     Log log;
     log.put("a", 0, FirstTable);
--- a/tests/InForceTest.cpp
+++ b/tests/InForceTest.cpp
@@ -24,7 +24,7 @@
 
 } // namespace
 
-TEST_CASE("the version that agents must have in force does not advance with changes that are not sent to them")
+TEST_CASE("what agents must have in force does not advance with changes that are not sent to them")
 {
     // An operator marks out a failure domain that is already out, and waits until the change is in force. Nothing is
     // sent to the agents, so a wait for the new version would never end and every agent would appear disconnected.
--- a/tests/LimitAllocatorTest.cpp
+++ b/tests/LimitAllocatorTest.cpp
@@ -47,10 +47,10 @@
     control::recordDemand(allocator, incarnationId, renew, Start);
 }
 
-wire::Renewed renewalOf(control::LimitAllocator &allocator,
-                        const std::string &incarnationId,
-                        BootTime now,
-                        std::uint64_t sequence = 1)
+wire::Renewed grantSharesTo(control::LimitAllocator &allocator,
+                            const std::string &incarnationId,
+                            BootTime now,
+                            std::uint64_t sequence = 1)
 {
     wire::Renewed renewed;
     renewed.set_sequence(sequence);
@@ -66,9 +66,9 @@
     report(allocator, "a", 9);
     report(allocator, "b", 1);
     report(allocator, "c", 0);
-    const double shareOfA = renewalOf(allocator, "a", Start).shares(0).share();
-    const double shareOfB = renewalOf(allocator, "b", Start).shares(0).share();
-    const double shareOfC = renewalOf(allocator, "c", Start).shares(0).share();
+    const double shareOfA = grantSharesTo(allocator, "a", Start).shares(0).share();
+    const double shareOfB = grantSharesTo(allocator, "b", Start).shares(0).share();
+    const double shareOfC = grantSharesTo(allocator, "c", Start).shares(0).share();
     REQUIRE(shareOfA > 3 * shareOfB);
     REQUIRE(shareOfB > shareOfC);
     REQUIRE(shareOfC >= 0.01);
@@ -78,41 +78,41 @@
 TEST_CASE("limit book: an agent that has not reported its shares gets none")
 {
     control::LimitAllocator allocator = allocatorAt(Start);
-    REQUIRE(renewalOf(allocator, "a", Start).share_lease_ms() == 0);
+    REQUIRE(grantSharesTo(allocator, "a", Start).share_lease_ms() == 0);
 }
 
-TEST_CASE("limit book: permits are granted up to their fraction of the window")
+TEST_CASE("limit book: permits are granted up to their part of the window")
 {
     control::LimitAllocator allocator = allocatorAt(Start);
     report(allocator, "a", 9, 20);
-    REQUIRE(renewalOf(allocator, "a", Start).shares(0).permits() == 20);
+    REQUIRE(grantSharesTo(allocator, "a", Start).shares(0).permits() == 20);
     report(allocator, "a", 9, 20, false);
-    REQUIRE(renewalOf(allocator, "a", Start + 1s).shares(0).permits() == 5);
+    REQUIRE(grantSharesTo(allocator, "a", Start + 1s).shares(0).permits() == 5);
     report(allocator, "a", 9, 20, false);
-    REQUIRE(renewalOf(allocator, "a", Start + 8s).shares(0).permits() == 20);
+    REQUIRE(grantSharesTo(allocator, "a", Start + 8s).shares(0).permits() == 20);
 }
 
 // Guards against two agents using the same share: a grant may arrive late, after a smaller one was sent.
-TEST_CASE("limit book: a grant still in flight counts until the next grant is confirmed")
+TEST_CASE("limit book: a grant still in flight counts in addition to the one after it")
 {
     control::LimitAllocator allocator = allocatorAt(Start);
     report(allocator, "a", 9);
-    const double first = renewalOf(allocator, "a", Start, 1).shares(0).share();
+    const double first = grantSharesTo(allocator, "a", Start, 1).shares(0).share();
     report(allocator, "b", 9);
-    const double second = renewalOf(allocator, "a", Start, 2).shares(0).share();
+    const double second = grantSharesTo(allocator, "a", Start, 2).shares(0).share();
     REQUIRE(second < first);
-    REQUIRE(first + renewalOf(allocator, "b", Start, 1).shares(0).share() <= 0.76);
+    REQUIRE(first + grantSharesTo(allocator, "b", Start, 1).shares(0).share() <= 0.76);
 }
 
-TEST_CASE("limit book: the share of a process that ended is reserved for the next process of that agent")
+TEST_CASE("limit book: the share of a process that ended is reserved for the next one of that agent")
 {
     control::LimitAllocator allocator = allocatorAt(Start);
     report(allocator, "a 1", 9);
-    const double before = renewalOf(allocator, "a 1", Start).shares(0).share();
+    const double before = grantSharesTo(allocator, "a 1", Start).shares(0).share();
     control::transferShares(allocator, "a 1", "a 2", Start);
     report(allocator, "b", 9);
-    renewalOf(allocator, "b", Start);
+    grantSharesTo(allocator, "b", Start);
     report(allocator, "a 2", 9);
-    REQUIRE(renewalOf(allocator, "a 2", Start).shares(0).share() >= before / 2);
-    REQUIRE(allocator.reserves[Name].outstanding <= 0.76);
+    REQUIRE(grantSharesTo(allocator, "a 2", Start).shares(0).share() >= before / 2);
+    REQUIRE(allocator.allocations[Name].outstanding <= 0.76);
 }
--- a/tests/RouteStoreTest.cpp
+++ b/tests/RouteStoreTest.cpp
@@ -62,7 +62,7 @@
     REQUIRE(store.routes().revision() == 9);
 }
 
-TEST_CASE("routes: an invalid change and a change that does not raise the revision are refused")
+TEST_CASE("routes: an invalid change and one that does not raise the revision are refused")
 {
     control::RouteStore store;
     REQUIRE(store.put(makeChange(1, 0, 5)).status() == wire::OPERATOR_STATUS_DONE);
@@ -164,7 +164,7 @@
     REQUIRE(table::RouteTable(store.routes()).requiresCallerKeys());
 }
 
-TEST_CASE("workspaces: invalid ones are refused, also when a partial change makes them invalid")
+TEST_CASE("workspaces: invalid ones are refused, also where a change of one item makes them invalid")
 {
     control::RouteStore store;
     wire::PutRoutes first = makeChange(1, 0, 5);
@@ -227,7 +227,7 @@
     REQUIRE(known.workspaces().empty());
 }
 
-TEST_CASE("workspaces: a snapshot keeps them, and a snapshot of an older version is read as without workspaces")
+TEST_CASE("workspaces: a snapshot keeps them, and one from before there were workspaces is read as without them")
 {
     control::RouteStore store;
     REQUIRE(store.put(makeChange(1, 0, 5)).status() == wire::OPERATOR_STATUS_DONE);
