--- a/src/process/AgentMetrics.cpp
+++ b/src/process/AgentMetrics.cpp
@@ -63,15 +63,16 @@
     prometheus::Family<prometheus::Counter> &refusals =
         family(registry, BuildCounter(), "refusals_total", "Refused requests by the reason that decided it.");
     prometheus::Family<prometheus::Counter> &retries =
-        family(registry, BuildCounter(), "retries_total", "Retried requests, by service.");
+        family(registry, BuildCounter(), "retries_total", "Requests sent again (retries), by service.");
     prometheus::Family<prometheus::Gauge> &budget =
         family(registry, BuildGauge(), "retry_budget", "Retries that the budget allows at present, by service.");
     prometheus::Family<prometheus::Histogram> &time =
-        family(registry, BuildHistogram(), "request_seconds", "Time that requests spend in each part, by service.");
+        family(registry, BuildHistogram(), "request_seconds", "Where requests spend their time, by service.");
     prometheus::Counter &connections =
         family(registry, BuildCounter(), "connections_opened_total", "Connections opened to the upstream.").Add({});
     prometheus::Counter &lateHeartbeats =
-        family(registry, BuildCounter(), "heartbeats_late_total", "Heartbeats that arrived after a newer one.").Add({});
+        family(registry, BuildCounter(), "heartbeats_late_total", "Heartbeats that arrived behind a newer one.")
+            .Add({});
     prometheus::Counter &releasedSlices =
         family(registry, BuildCounter(), "slices_released_total", "Slices that this agent's upstreams released.")
             .Add({});
--- a/src/process/AgentProcess.cpp
+++ b/src/process/AgentProcess.cpp
@@ -175,7 +175,7 @@
 void AgentProcess::connect()
 {
     this->peers->admitBodies([this](const std::shared_ptr<net::ExpectedBody> &body) {
-        return this->bodies.requestAdmission(body);
+        return this->bodies.handleAnnouncedBody(body);
     });
     const std::string address = this->state.settings.address + ":";
     this->state.peerAddress = address + std::to_string(this->peers->port());
--- a/src/process/BodyIntake.cpp
+++ b/src/process/BodyIntake.cpp
@@ -33,7 +33,7 @@
     this->loop.cancel(this->timer);
 }
 
-std::optional<net::HttpAnswer> BodyIntake::requestAdmission(const std::shared_ptr<net::ExpectedBody> &body)
+std::optional<net::HttpAnswer> BodyIntake::handleAnnouncedBody(const std::shared_ptr<net::ExpectedBody> &body)
 {
     const BootTime now = BootClock::now();
     auto read = readForwarded(body->head(), now);
@@ -47,8 +47,8 @@
         upstream == nullptr ? agent::Admission::NotServing
                             : upstream->previewAdmission({id, request.facts.deadline, request.facts.queuePriority});
     if (admission == agent::Admission::Admitted || admission == agent::Admission::Queued) {
-        const BootTime targetDeadline = std::min(request.facts.queuePriority.targetDeadline, request.facts.deadline);
-        const agent::AnnouncedBody announced{id, body->length(), targetDeadline - upstream->meanServiceTime()};
+        const BootTime wantedBy = std::min(request.facts.queuePriority.targetDeadline, request.facts.deadline);
+        const agent::AnnouncedBody announced{id, body->length(), wantedBy - upstream->meanServiceTime()};
         admission = agent::requestAdmission(this->queue, announced, now);
     }
     Log.event(loop::LogLevel::Info, "body announced", loop::RoutineBound)
--- a/src/process/BodyIntake.h
+++ b/src/process/BodyIntake.h
@@ -36,7 +36,7 @@
     BodyIntake &operator=(const BodyIntake &) = delete;
 
     /** Decides on a body that another agent announced. @return the refusal; nullopt if it is admitted or queued */
-    std::optional<net::HttpAnswer> requestAdmission(const std::shared_ptr<net::ExpectedBody> &body);
+    std::optional<net::HttpAnswer> handleAnnouncedBody(const std::shared_ptr<net::ExpectedBody> &body);
 
 private:
     void handleEnded(agent::BodyId id, bool isComplete);
--- a/src/process/LocalUpstream.h
+++ b/src/process/LocalUpstream.h
@@ -151,9 +151,11 @@
 
 private:
     struct Work;
+    /** Sends a health check, unless one is in flight, and updates the status from its result. */
     void checkHealth(bool needsNewConnection);
     void healthAnswered(const net::CallResult &result);
     void answered(agent::TicketId ticket, net::CallResult result);
+    /** Marks work as abandoned; requests its cancellation where upstreams send no heartbeats. */
     void abandon(agent::TicketId ticket);
     void requestCancel(agent::TicketId ticket);
     void endWork(agent::TicketId ticket, agent::WorkOutcome outcome, bool answeredInFull);
@@ -163,6 +165,7 @@
     bool isOutOfService(BootTime now) const;
     bool isServing() const;
     void recordReportedKeys(const Heartbeat &heartbeat);
+    /** @return the grants for the answer to a heartbeat; marks revoked slices as withheld from the upstream */
     std::vector<KeyGrant> grantKeys();
     void recordHeld(const std::vector<KeyGrant> &grants, std::chrono::milliseconds holdFor);
     void forgetHeldKeys();
--- a/src/process/LocalUpstreamHealth.cpp
+++ b/src/process/LocalUpstreamHealth.cpp
@@ -78,11 +78,11 @@
  */
 void LocalUpstream::processEnded()
 {
-    std::set<std::uint64_t> suspects;
+    std::set<std::uint64_t> suspectFingerprints;
     std::vector<agent::TicketId> ended;
     for (const auto &[ticket, entry] : this->work) {
         if (entry.connectionLost) {
-            suspects.insert(entry.request.fingerprint);
+            suspectFingerprints.insert(entry.request.fingerprint);
             ended.push_back(ticket);
         }
     }
@@ -93,7 +93,7 @@
     }
     this->setStatus(allEnded ? UpstreamStatus::Crashed : UpstreamStatus::Frozen);
     const wire::ReportCrash report =
-        agent::recordCrash(this->state.crashes, suspects, this->latestAnnouncement.incarnation, unixTime());
+        agent::recordCrash(this->state.crashes, suspectFingerprints, this->latestAnnouncement.incarnation, unixTime());
     for (const agent::TicketId ticket : ended) {
         this->endWork(ticket, agent::WorkOutcome::Lost, false);
     }
--- a/src/process/LocalUpstreamHolds.cpp
+++ b/src/process/LocalUpstreamHolds.cpp
@@ -58,7 +58,7 @@
     const BootTime now = BootClock::now();
     this->lastAnnouncedAt = now;
     if (this->sequence && heartbeat.sequence <= *this->sequence) {
-        Log.info(this->latestAnnouncement.name + ": heartbeat ignored: older than the newest one");
+        Log.info(this->latestAnnouncement.name + ": heartbeat came late, ignored");
         this->events.heartbeatLate();
         return {};
     }
--- a/src/process/RunAgent.cpp
+++ b/src/process/RunAgent.cpp
@@ -26,7 +26,7 @@
     }
     // Settings in force come from control; the settings file is read only at start.
     loop.value()->onSignal(SIGHUP, [&] {
-        Log.info("SIGHUP: the settings file is read at the next start only");
+        Log.info("SIGHUP: changes of the settings file count from the next start");
     });
     loop.value()->run();
     process.value().reset();
--- a/tests/AgentProcessTest.cpp
+++ b/tests/AgentProcessTest.cpp
@@ -66,7 +66,7 @@
 
 // A request is cut off, or its key has two owners: a gracefully stopping upstream closes its listening socket first and
 // finishes its work, and its agent takes the refused connections for a crash.
-TEST_CASE("an upstream that stops gracefully finishes its work before its keys are reassigned", "[process]")
+TEST_CASE("an upstream that stops in good order finishes its work before its keys are reassigned", "[process]")
 {
     Deployment deployment(slowEnrolments("upstream-stop"));
     REQUIRE(isServed(deployment.vms[0], "first"));
@@ -83,7 +83,7 @@
 }
 
 // A request runs twice: its agent is stopped for an update while it runs, and another agent retries it.
-TEST_CASE("a stopping agent finishes the requests in progress and hands its keys over", "[process]")
+TEST_CASE("a stopping agent finishes what is in progress and hands its keys over", "[process]")
 {
     Deployment deployment(slowEnrolments("agent-stop"));
     REQUIRE(isServed(deployment.vms[0], "first"));
@@ -101,7 +101,7 @@
 
 // A caller gets a wrong answer: its upstream crashed while the request ran, so the request must be neither retried nor
 // reported as not run.
-TEST_CASE("a request in progress at a crash is answered at once as possibly run, and isn't retried", "[process]")
+TEST_CASE("a request in progress at a crash is answered at once as possibly run, and isn't sent again", "[process]")
 {
     Deployment deployment(slowEnrolments("crash-during"));
     REQUIRE(isServed(deployment.vms[0], "first"));
@@ -120,7 +120,7 @@
 // Callers are refused for seconds after each planned restart of an agent, although its upstream stays warm.
 // Order: the gate's limit has grown; the agent stops and starts; its gate starts again at one request.
 // Cause: the learned limit is lost with the process. A restarted upstream must start cold nevertheless.
-TEST_CASE("an agent that restarts beside a warm upstream starts with the learned limit", "[process]")
+TEST_CASE("an agent that restarts beside a warm upstream starts from the learned limit", "[process]")
 {
     Plan plan = slowEnrolments("resume-limit");
     plan.upstreams.front().upstreamFlags = {"--service-time-us", "1000", "--jitter", "0"};
--- a/tests/AgentReportTest.cpp
+++ b/tests/AgentReportTest.cpp
@@ -15,7 +15,8 @@
 
 } // namespace
 
-TEST_CASE("an agent attributes burned budget to the system, the upstream or neither, and renders it on three pages")
+TEST_CASE(
+    "an agent attributes what burned the budget to the system, the upstream or nobody, and renders it on three pages")
 {
     process::AgentState state;
     state.table = table::Table::parse("service\nfees\n").value();
