--- a/src/process/BodyIntake.cpp
+++ b/src/process/BodyIntake.cpp
@@ -47,8 +47,8 @@
         upstream == nullptr ? agent::Admission::NotServing
                             : upstream->previewAdmission({id, request.facts.deadline, request.facts.queuePriority});
     if (admission == agent::Admission::Admitted || admission == agent::Admission::Queued) {
-        const BootTime wantedBy = std::min(request.facts.queuePriority.targetDeadline, request.facts.deadline);
-        const agent::AnnouncedBody announced{id, body->length(), wantedBy - upstream->meanServiceTime()};
+        const BootTime wantedDeadline = std::min(request.facts.queuePriority.targetDeadline, request.facts.deadline);
+        const agent::AnnouncedBody announced{id, body->length(), wantedDeadline - upstream->meanServiceTime()};
         admission = agent::requestAdmission(this->queue, announced, now);
     }
     Log.event(loop::LogLevel::Info, "body announced", loop::RoutineBound)
--- a/src/process/CallGrants.cpp
+++ b/src/process/CallGrants.cpp
@@ -170,7 +170,7 @@
     return wanted;
 }
 
-/** @return the revoked key ranges; marks their slices as revoked, so that they get no new work from now on */
+/** @return the revoked key ranges; records that their revokes are sent, so that they get no new work from now on */
 std::vector<agent::HeldRange> CallGrants::unwanted()
 {
     std::vector<agent::HeldRange> unwanted;
--- a/src/process/ControlLink.cpp
+++ b/src/process/ControlLink.cpp
@@ -48,7 +48,7 @@
     Result<table::Table> table = table::Table::parse(state.map.csv);
     if (!table) {
         Log.error("table " + std::to_string(state.map.tableVersion)
-                  + " can't be parsed; the previous table stays in force");
+                  + " can't be parsed; the one before stays in force");
         return;
     }
     state.table = table.value().withRoutes(state.table.routes());
--- a/src/process/LocalUpstream.h
+++ b/src/process/LocalUpstream.h
@@ -165,7 +165,7 @@
     bool isOutOfService(BootTime now) const;
     bool isServing() const;
     void recordReportedKeys(const Heartbeat &heartbeat);
-    /** @return the grants for the answer to a heartbeat; marks revoked slices as withheld from the upstream */
+    /** @return the grants for the answer to a heartbeat; records that the revokes of revoked slices are sent with it */
     std::vector<KeyGrant> grantKeys();
     void recordHeld(const std::vector<KeyGrant> &grants, std::chrono::milliseconds holdFor);
     void forgetHeldKeys();
