--- a/include/process/ControlSettings.h
+++ b/include/process/ControlSettings.h
@@ -14,52 +14,52 @@
 
 struct OperatorProtocol;
 
-/** How a control group keeps its own membership. */
+/** Settings of a control group that manages its own membership. */
 struct GroupSettings {
-    /** Replica endpoints of the VMs that form the first group and that newcomers ask. */
+    /** Replica endpoints of the VMs that form the first group; new replicas send their join requests to them. */
     std::vector<std::string> seeds;
-    /** The whole deployment starts for the first time: those among the seeds form the first group. */
+    /** True on the first start of the whole deployment: the seeds then form the first group. */
     bool firstStart = false;
-    /** Voters that it takes to bear the losses that must be borne: twice their number and one. */
+    /** Target number of voters; tolerating the loss of n of them takes 2n + 1. */
     std::size_t wantedVoters = 5;
-    /** With fewer voters a leader acknowledges nothing until it has waited so long for others to join. */
+    /** With fewer voters a leader acknowledges no change until it has waited this long for others to join. */
     std::chrono::milliseconds joinGrace{std::chrono::seconds(10)};
-    /** A member silent for so long makes room for one that has joined: longer than a frozen VM or a restart takes. */
+    /** A member unresponsive for this long is replaced by one that has joined; a freeze or restart is shorter. */
     std::chrono::milliseconds removeAfter{std::chrono::seconds(8)};
 };
 
 /** Settings of a control replica, checked. Ports: 0 asks the kernel for a free one. */
 struct ControlSettings {
-    /** What its log lines call this process, where its id is found only at the start; the id otherwise. */
+    /** Name of this process in its log lines, set where the id is determined at the start; if empty, the id is used. */
     std::string vmName = {};
     /** Unique in the control group. */
     std::string replicaId;
-    /** IP that the replica binds and tells others to reach it at. */
+    /** IP that the replica binds and advertises to others. */
     std::string address;
-    /** Messages of the other replicas. */
+    /** Port for messages of the other replicas. */
     std::uint16_t raftPort = 0;
-    /** Agents and operators, gRPC. */
+    /** Port for agents and operators, gRPC. */
     std::uint16_t controlPort = 0;
-    /** /healthz, /metrics. */
+    /** Port for /healthz and /metrics, HTTP. */
     std::uint16_t operatorPort = 0;
     /** Folder of all durable state. */
     std::string dataFolder;
-    /** The first membership, the same on each replica of it; all voters. Empty when join is set. */
+    /** The first membership, all voters; the same on each of its replicas. Empty when join is set. */
     wire::Membership initial;
-    /** True for a replica that waits until "member add" takes it in. */
+    /** True for a replica that waits until "member add" adds it. */
     bool join = false;
     std::string logLevel = "info";
-    /** Seeds all randomness of the process; 0 takes one from the clock and the id. */
+    /** Seed of all random numbers of the process; 0 derives one from the clock and the id. */
     std::uint64_t seed = 0;
-    /** Set where the group keeps its own membership; operators change it otherwise. */
+    /** Set when the group manages its own membership; otherwise operators change it. */
     std::optional<GroupSettings> group;
     /** Elections and heartbeats of the group. */
     raft::RaftSettings raft;
-    /** Leases and moves. */
+    /** Leases and moves of slices. */
     control::CoordinatorSettings coordinator;
-    /** Operators' orders over HTTP in a protocol of the deployment's; nullptr for none. */
+    /** Translates operators' requests in the deployment's own HTTP protocol; nullptr for none. */
     const OperatorProtocol *operatorProtocol = nullptr;
-    /** Port for them. */
+    /** Port for operators' requests in that protocol. */
     std::uint16_t orderPort = 0;
 };
 
--- a/include/process/ParsedRequest.h
+++ b/include/process/ParsedRequest.h
@@ -8,33 +8,36 @@
 
 namespace bergamotweir::process {
 
-/** A request as an agent understands it. */
+/** A request as parsed by an agent. */
 struct ParsedRequest {
     agent::RequestFacts facts;
-    /** What the route says of its time; no timeout where there are no routes, and its urgency stays the default. */
+    /** Time targets of the route. Without routes the timeout is 0, and the queue priority keeps its default. */
     agent::TimeTargets targets;
     std::string key;
-    /** What the table calls the route, for logs and metrics; the service where there are no routes. */
+    /** Name of the route in the table, for logs and metrics; the service where there are no routes. */
     std::string route;
-    /** What the route says of it; where there are no routes, the method does. */
+    /** Kind given by the route; where there are no routes, the method decides. */
     std::optional<table::RouteKind> kind;
     std::string idempotencyKey;
     std::uint64_t fingerprint = 0;
     /** Service of the VM at which the request began; empty at the agent where it begins. */
     std::string originService;
-    /** Whose key the caller sent; empty for requests without a key. */
+    /** Workspace of the key that the caller sent; empty for requests without a key. */
     std::string workspace;
-    /** Its workspace's share of the limit counts it. */
+    /** The request counts against its workspace's share of the limit. */
     bool countsAgainstShare = false;
-    /** The caller's credentials were for this system and are not passed on. */
+    /** The caller's credentials were meant for this system and are not passed on. */
     bool credentialsConsumed = false;
-    /** Only from another agent: its name for the request, the upstream that it wants, and whether it is a suspect. */
+    /**
+     * Read only from requests of other agents: the request's id, the upstream that is to run it, and whether the
+     * request is suspected of crashing upstreams.
+     */
     std::string requestId;
     std::uint32_t requestedUpstream = 0;
     bool suspect = false;
 };
 
-/** Which port a request came in by. */
+/** Which port a request arrived at: the one for callers or the one for other agents. */
 enum class Origin { Caller, Peer };
 
 } // namespace bergamotweir::process
--- a/include/process/ReplicaNode.h
+++ b/include/process/ReplicaNode.h
@@ -24,18 +24,18 @@
 enum class ProposeOutcome {
     /** Committed and applied; the result of the apply hook is there. */
     Applied,
-    /** Surely not in the log: this replica doesn't lead, or leads but is handing over or full. */
+    /** Certainly not in the log: not the leader, or transferring leadership, or too many entries are uncommitted. */
     NotLeader,
     /** Leadership was lost after the proposal entered the log: it may or may not be committed later. */
     Unknown,
-    /** Surely not in the log: the change itself was refused, see the findings. */
+    /** Certainly not in the log: the change itself was refused, see the findings. */
     Refused,
 };
 
-/** What a proposer gets back. */
+/** The result of a proposal. */
 struct ProposeResult {
     ProposeOutcome kind = ProposeOutcome::NotLeader;
-    /** Place in the log; set when applied or unknown. */
+    /** Position in the log; set when applied or unknown. */
     wire::Version version;
     /** What the apply hook returned; set when applied. */
     std::string result;
@@ -51,17 +51,21 @@
     std::function<std::string()> snapshot;
     /** Replaces the whole state by a snapshot taken at the given version. */
     std::function<void(const wire::Version &, std::string_view state)> restore;
-    /** leader is true only after everything committed before has been applied. */
+    /**
+     * Called when this replica becomes the leader or stops being it.
+     * @p leader is true only after all entries committed before have been applied.
+     */
     std::function<void(bool leader, std::uint64_t term)> leadershipChanged;
-    /** A replica that is no member asks to be taken in; this replica leads. May be empty. */
+    /** Called on the leader when a replica that is not a member asks to join. May be empty. */
     std::function<void(const wire::Replica &)> joinRequested;
-    /** The replica acts no more (disk failed); the process should say so and exit. May be empty. */
+    /** Called when the replica has stopped because its disk failed; the process should log it and exit. May be empty.
+     */
     std::function<void(const Findings &)> stopped;
 };
 
 /**
  * One replica of the control group: the consensus core on its disk and its transport.
- * Owned by the control process; all methods are for the loop's thread, all callbacks come on it.
+ * Owned by the control process. Methods may be called on the loop's thread only; callbacks run on it.
  */
 class ReplicaNode
 {
@@ -71,7 +75,8 @@
      * open() calls hooks (restore) before it returns when there is a snapshot.
      * @param loop outlives the replica
      * @param files file calls, replaced by tests
-     * @return the running replica, or why it can't: folder in use or of another replica, corrupt file, port taken
+     * @return the running replica, or why it can't start: folder in use or of another replica, corrupt file, port in
+     * use
      */
     static Result<std::unique_ptr<ReplicaNode>> open(loop::EventLoop &loop,
                                                      ReplicaSettings settings,
@@ -85,7 +90,7 @@
     /** Proposes a command; all proposals of one loop turn share one append and one sync. */
     void propose(std::string command, std::function<void(ProposeResult)> done);
 
-    /** Asks a quorum, in a round begun after this call, whether this replica still leads. */
+    /** Confirms with a quorum, in a round begun after this call, whether this replica is still the leader. */
     void confirmLeadership(std::function<void(bool)> done);
 
     /** @return true from leadershipChanged(true) until leadershipChanged(false) */
@@ -104,12 +109,12 @@
 
     /**
      * Adds a learner, promotes it, or removes a replica; one change at a time.
-     * To add, replica.id, address and control_address are set; the disk id is asked from the replica itself.
+     * To add a learner, set replica.id, address and control_address; its disk id is requested from the replica itself.
      */
     void changeMembership(const wire::ChangeMember &change, std::function<void(ProposeResult)> done);
 
     /**
-     * Asks to be taken into a group; may be lost, so it is asked again until membership() names this replica.
+     * Asks to join a group. The message may be lost, so callers repeat it until membership() contains this replica.
      * @param addresses replica endpoints of probable members
      */
     void requestJoin(const std::vector<std::string> &addresses);
@@ -117,7 +122,7 @@
     /** @return ids of members that have not answered this leader for longer than @p timeout */
     std::set<std::string> unresponsiveMembers(std::chrono::nanoseconds timeout) const;
 
-    /** Hands leadership to a caught-up voter; done is called when it's gone or a bounded time has passed. */
+    /** Transfers leadership to a caught-up voter. @param done called when it has ended or a bounded time has passed */
     void transferLeadership(std::function<void()> done);
 
 private:
--- a/include/process/ReplicaSettings.h
+++ b/include/process/ReplicaSettings.h
@@ -10,19 +10,19 @@
 
 namespace bergamotweir::process {
 
-/** What one replica of the control group is told at its start. Made by ReplicaSettingsBuilder. */
+/** Settings of one replica of the control group. Built by ReplicaSettingsBuilder. */
 struct ReplicaSettings {
     std::string id;
     /** IP to listen on. */
     std::string address;
-    /** 0 takes a port of the kernel's choice, fit for tests that listen before they know the membership. */
+    /** 0 lets the kernel choose a port, for tests that listen before they know the membership. */
     std::uint16_t raftPort = 0;
     /** IP:port that agents and operators connect to. */
     std::string controlAddress;
     std::filesystem::path dataFolder;
-    /** The first voters: the same list on each. Read only while the data folder is empty. */
+    /** The first voters, the same list on each of them. Read only while the data folder is empty. */
     wire::Membership initial;
-    /** A replica with an empty data folder waits to be added instead of forming a group. */
+    /** With an empty data folder, the replica waits to be added instead of forming a group. */
     bool join = false;
     std::uint64_t seed = 0;
     raft::RaftSettings raft;
--- a/include/process/RequestMetadata.h
+++ b/include/process/RequestMetadata.h
@@ -8,17 +8,17 @@
 
 namespace bergamotweir::process {
 
-/** What an upstream has to know of a request beside the request itself. */
+/** What an upstream needs to know about a request besides the request itself. */
 struct RequestMetadata {
     std::uint64_t epoch = 0;
     std::string requestId;
-    /** What is left of the request's time. */
+    /** Time left until the request's deadline. */
     std::chrono::milliseconds timeout{0};
-    /** Service of the VM at which the request began; empty when it isn't known. */
+    /** Service of the VM at which the request began; empty when unknown. */
     std::string originService;
-    /** Whose key the caller sent; empty for requests without a key. */
+    /** Workspace of the key that the caller sent; empty for requests without a key. */
     std::string workspace = {};
-    /** The one process of the upstream that may run it. */
+    /** The only process of the upstream that may run the request. */
     std::string instance;
 };
 
--- a/src/process/CommandTimes.h
+++ b/src/process/CommandTimes.h
@@ -9,13 +9,13 @@
 
 namespace bergamotweir::process {
 
-/** @return the wall clock, for commands of the log */
+/** @return the wall-clock time in ms since the Unix epoch, for commands in the log */
 std::uint64_t unixMilliseconds();
 
-/** Replaces the times that others claim by the leader's: replicas and agents may have clocks that are off. */
+/** Replaces the sender's times by the leader's: the clocks of replicas and agents may be wrong. */
 void stamp(wire::Command &command);
 
-/** @return what applying a proposal answered; empty when it wasn't applied */
+/** @return the result of applying a proposal; empty when it was not applied */
 wire::CommandResult resultOf(const ProposeResult &result);
 
 /** @return IP:port */
--- a/src/process/ControlProcess.cpp
+++ b/src/process/ControlProcess.cpp
@@ -19,10 +19,10 @@
 
 constexpr std::chrono::milliseconds TickInterval{20};
 constexpr std::chrono::seconds ExpiryInterval{1};
-/** A resend of a request after that long is a new request; told in docs/design/ownership.md. */
+/** A request sent again after this time counts as a new request; see docs/design/ownership.md. */
 constexpr std::chrono::hours ClaimWindow{24};
 constexpr std::chrono::minutes QuarantineWindow{10};
-constexpr std::size_t MostClaimName = 512;
+constexpr std::size_t MaxClaimNameBytes = 512;
 
 } // namespace
 
@@ -38,9 +38,9 @@
 {
     ControlSettings complete = settings;
     if (complete.group) {
-        Findings wrong = takeIdentity(complete);
-        if (!wrong.empty()) {
-            return wrong;
+        Findings identityFindings = determineIdentity(complete);
+        if (!identityFindings.empty()) {
+            return identityFindings;
         }
     }
     std::unique_ptr<ControlProcess> process(new ControlProcess(loop, complete));
@@ -77,11 +77,11 @@
         return findings;
     }
     if (this->settings.group) {
-        this->keeper = std::make_unique<MembershipManager>(
+        this->membershipManager = std::make_unique<MembershipManager>(
             this->loop, *this->node, *this->settings.group, this->settings.replicaId);
     }
     this->tickTimer = this->loop.every(TickInterval, [this] {
-        this->tellControls();
+        this->updateControlAddresses();
         this->coordinator.tick(BootClock::now());
         this->scheduleActions();
     });
@@ -118,15 +118,15 @@
     };
     hooks.restore = [this](const wire::Version &, std::string_view bytes) {
         if (!this->state.restore(bytes)) {
-            Log.error("a snapshot can't be read");
+            Log.error("snapshot of the replicated state can't be parsed");
         }
     };
     hooks.leadershipChanged = [this](bool leader, std::uint64_t) {
         this->leadershipChanged(leader);
     };
     hooks.joinRequested = [this](const wire::Replica &replica) {
-        if (this->keeper) {
-            this->keeper->joinRequested(replica);
+        if (this->membershipManager) {
+            this->membershipManager->joinRequested(replica);
         }
     };
     hooks.stopped = [failed = std::move(failed)](const Findings &findings) {
@@ -206,7 +206,7 @@
 {
     wire::Command command;
     if (!command.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) {
-        Log.error("a command in the log can't be read; it changes nothing");
+        Log.error("command in the log can't be parsed; skipped");
         return {};
     }
     const control::Applied applied = this->state.apply(version, command);
@@ -226,7 +226,7 @@
     this->scheduleActions();
 }
 
-void ControlProcess::tellControls()
+void ControlProcess::updateControlAddresses()
 {
     if (!this->node->isLeader()) {
         return;
@@ -294,7 +294,7 @@
 
 void ControlProcess::claim(wire::ClaimRequest request, const std::function<void(wire::ClaimReply)> &answer)
 {
-    if (request.idempotency_key().size() + request.service().size() > MostClaimName) {
+    if (request.idempotency_key().size() + request.service().size() > MaxClaimNameBytes) {
         wire::ClaimReply reply;
         reply.set_verdict(wire::CLAIM_VERDICT_FULL);
         answer(std::move(reply));
@@ -340,9 +340,9 @@
     const UnixTime now = fromUnixMillis(unixMilliseconds());
     const UnixTime claimsBefore = now - ClaimWindow;
     const UnixTime quarantineBefore = now - QuarantineWindow;
-    const bool claimDue = this->state.claims().oldest().value_or(now) < claimsBefore;
-    const bool suspectDue = this->state.quarantine().oldest().value_or(now) < quarantineBefore;
-    if (!claimDue && !suspectDue) {
+    const bool hasExpiredClaim = this->state.claims().oldest().value_or(now) < claimsBefore;
+    const bool hasExpiredSuspect = this->state.quarantine().oldest().value_or(now) < quarantineBefore;
+    if (!hasExpiredClaim && !hasExpiredSuspect) {
         return;
     }
     wire::Command command;
--- a/src/process/ControlProcess.h
+++ b/src/process/ControlProcess.h
@@ -23,8 +23,8 @@
 namespace bergamotweir::process {
 
 /**
- * One control replica: the replicated state on its consensus node, and, while it leads, the coordination of agents.
- * Owned by runControl(); everything runs on the loop's thread.
+ * One control replica: the replicated state on its consensus node and, while it is the leader, the coordination of
+ * agents. Owned by runControl(); runs on the loop's thread only.
  */
 class ControlProcess
 {
@@ -33,7 +33,7 @@
      * Opens the data folder and listens.
      * @param loop outlives the process object
      * @param settings checked
-     * @param failed called when the replica can't go on
+     * @param failed called when the replica can't continue
      * @return the running replica, or why it can't run
      */
     static Result<std::unique_ptr<ControlProcess>>
@@ -43,7 +43,7 @@
     ControlProcess(const ControlProcess &) = delete;
     ControlProcess &operator=(const ControlProcess &) = delete;
 
-    /** Hands leadership over. @param done called once, when the process may end */
+    /** Transfers leadership to another replica. @param done called once, when the process may exit */
     void stop(std::function<void()> done);
 
     /** @return the port for agents and operators */
@@ -56,16 +56,16 @@
     Findings openNode(std::function<void()> failed);
     Findings openOperatorPort();
     Findings openOrderPort();
-    /** Takes an operator's order by the deployment's protocol. */
-    void order(const std::shared_ptr<net::Exchange> &exchange);
-    /** @return IP:port where the leader takes orders; empty when no leader is known */
+    /** Handles an operator's request in the deployment's own protocol. */
+    void handleOrder(const std::shared_ptr<net::Exchange> &exchange);
+    /** @return IP:port of the leader for operators' requests in that protocol; empty when no leader is known */
     std::string leaderOrderAddress() const;
     rpc::ControlServiceEvents serviceEvents();
     std::string apply(const wire::Version &version, std::string_view bytes);
     void leadershipChanged(bool leader);
     void closeWithRedirect(control::SessionId session);
-    void tellControls();
-    /** Carries out what the coordinator wants, once the present event has been handled. */
+    void updateControlAddresses();
+    /** Performs the coordinator's pending actions once the current event has been handled. */
     void scheduleActions();
     void perform(control::ProposeAction action);
     void perform(const control::SendAction &action);
@@ -90,15 +90,15 @@
     bool stopping = false;
     std::uint64_t tickTimer = 0;
     std::uint64_t expiryTimer = 0;
-    /** False once this object is gone; posted tasks look at it. */
+    /** False after destruction; checked by posted tasks. */
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
     std::unique_ptr<rpc::ControlService> service;
     std::unique_ptr<net::HttpServer> operatorServer;
     std::unique_ptr<net::HttpServer> orderServer;
     std::unique_ptr<ReplicaNode> node;
-    /** Only where the group keeps its own membership. */
-    std::unique_ptr<MembershipManager> keeper;
-    std::uint64_t ordersTaken = 0;
+    /** Set only when the group manages its own membership. */
+    std::unique_ptr<MembershipManager> membershipManager;
+    std::uint64_t ordersReceived = 0;
 };
 
 } // namespace bergamotweir::process
--- a/src/process/ControlProcessOrders.cpp
+++ b/src/process/ControlProcessOrders.cpp
@@ -14,12 +14,12 @@
 
 namespace {
 
-/** Bytes of an operator's order: a table of routes, with as much again to spare. */
-constexpr std::size_t MostOrderBytes = std::size_t{4} * 1024 * 1024;
+/** Upper bound of the body of an operator's request: twice the size of a table of routes. */
+constexpr std::size_t MaxOrderBytes = std::size_t{4} * 1024 * 1024;
 
 constexpr loop::Log Log("control");
 
-/** @return a secret to make digests of callers' keys with; only that of the first accepted change is used */
+/** @return a new secret for digests of callers' keys; only the one of the first accepted change is used */
 std::string newDigestKey()
 {
     std::string key(table::DigestKeyBytes, '\0');
@@ -27,7 +27,7 @@
     return key;
 }
 
-/** Logs how an order ended, so that its acknowledgement can be compared with what each agent has in force. */
+/** Logs an operator's request and its result, so that it can be compared with what each agent has in force. */
 void logOrder(const net::HttpRequest &request,
               const wire::OperatorRequest &order,
               const wire::OperatorReply &reply,
@@ -51,14 +51,14 @@
     Result<net::HttpServerSettings> http = net::HttpServerSettingsBuilder()
                                                .address(this->settings.address)
                                                .port(this->settings.orderPort)
-                                               .maxBodyBytes(MostOrderBytes)
+                                               .maxBodyBytes(MaxOrderBytes)
                                                .build();
     if (!http) {
         return http.error();
     }
     Result<std::unique_ptr<net::HttpServer>> listening =
         net::HttpServer::listen(this->loop, http.value(), [this](const std::shared_ptr<net::Exchange> &exchange) {
-            this->order(exchange);
+            this->handleOrder(exchange);
         });
     if (!listening) {
         return listening.error();
@@ -67,7 +67,7 @@
     return {};
 }
 
-void ControlProcess::order(const std::shared_ptr<net::Exchange> &exchange)
+void ControlProcess::handleOrder(const std::shared_ptr<net::Exchange> &exchange)
 {
     const OperatorProtocol &protocol = *this->settings.operatorProtocol;
     auto read = protocol.read(exchange->request());
@@ -81,14 +81,14 @@
     }
     auto &order = std::get<wire::OperatorRequest>(read);
     if (order.has_mark() && order.mark().change_id().empty()) {
-        // A mark sent again changes nothing, so each may have an id of its own.
+        // Marks are idempotent: one that is sent again changes nothing, so each request may get an id of its own.
         order.mutable_mark()->set_change_id(this->settings.replicaId + "-" + std::to_string(this->node->term()) + "-"
                                             + std::to_string(unixMilliseconds()) + "-"
-                                            + std::to_string(++this->ordersTaken));
+                                            + std::to_string(++this->ordersReceived));
     }
     this->operate(order,
-                  [this, &protocol, exchange, order, begun = BootClock::now()](const wire::OperatorReply &reply) {
-                      logOrder(exchange->request(), order, reply, BootClock::now() - begun);
+                  [this, &protocol, exchange, order, receivedAt = BootClock::now()](const wire::OperatorReply &reply) {
+                      logOrder(exchange->request(), order, reply, BootClock::now() - receivedAt);
                       if (reply.status() == wire::OPERATOR_STATUS_NOT_LEADER) {
                           exchange->answer(protocol.redirect(exchange->request(), this->leaderOrderAddress()));
                           return;
@@ -113,11 +113,11 @@
         answer(this->notLeader());
         return;
     }
-    const bool changes = request.has_put_table() || request.has_mark() || request.has_put_routes();
-    if (changes && this->keeper && !this->keeper->canAcknowledge()) {
-        wire::OperatorReply notYet = this->notLeader();
-        notYet.clear_leader_address();
-        answer(std::move(notYet));
+    const bool isChange = request.has_put_table() || request.has_mark() || request.has_put_routes();
+    if (isChange && this->membershipManager && !this->membershipManager->canAcknowledge()) {
+        wire::OperatorReply refusal = this->notLeader();
+        refusal.clear_leader_address();
+        answer(std::move(refusal));
         return;
     }
     wire::Command command;
--- a/src/process/MembershipManager.cpp
+++ b/src/process/MembershipManager.cpp
@@ -12,12 +12,12 @@
 
 using std::chrono::milliseconds;
 
-/** How often the membership is looked at, and a join asked for: well below the second that a join may take. */
-constexpr milliseconds LookInterval{100};
-/** A joiner that hasn't asked again for so long is forgotten; it asks with every look. */
-constexpr milliseconds JoinerAge{1000};
-/** A member that hears of no leader for so long may have been removed while it was away, and asks to be taken in. */
-constexpr milliseconds LeaderlessFor{2000};
+/** How often the membership is checked and a join requested: well below the 1 s that a join may take. */
+constexpr milliseconds MembershipCheckInterval{100};
+/** A joiner that has not repeated its request for this long is dropped; it repeats it at every check. */
+constexpr milliseconds JoinRequestLifetime{1000};
+/** A member that has known no leader for this long may have been removed while it was down, and asks to join. */
+constexpr milliseconds LeaderlessTimeout{2000};
 
 constexpr loop::Log Log("group");
 
@@ -38,10 +38,10 @@
     , node(node)
     , settings(std::move(settings))
     , replicaId(std::move(replicaId))
-    , leaderSeen(BootClock::now())
+    , leaderSeenAt(BootClock::now())
 {
-    this->timer = loop.every(LookInterval, [this] {
-        this->look();
+    this->timer = loop.every(MembershipCheckInterval, [this] {
+        this->checkMembership();
     });
 }
 
@@ -67,16 +67,16 @@
     return this->leaderSince != BootTime() && BootClock::now() - this->leaderSince >= this->settings.joinGrace;
 }
 
-void MembershipManager::look()
+void MembershipManager::checkMembership()
 {
     const BootTime now = BootClock::now();
     if (!this->node.leaderId().empty()) {
-        this->leaderSeen = now;
+        this->leaderSeenAt = now;
     }
     if (!this->node.isLeader()) {
         this->leaderSince = BootTime();
         this->joiners.clear();
-        if (!isMember(this->node.membership(), this->replicaId) || now - this->leaderSeen >= LeaderlessFor) {
+        if (!isMember(this->node.membership(), this->replicaId) || now - this->leaderSeenAt >= LeaderlessTimeout) {
             this->requestJoin();
         }
         return;
@@ -106,24 +106,24 @@
     facts.unresponsive = this->node.unresponsiveMembers(this->settings.removeAfter);
     facts.wantedVoters = this->settings.wantedVoters;
     std::erase_if(this->joiners, [&](const auto &entry) {
-        return isMember(facts.members, entry.first) || now - entry.second.askedAt > JoinerAge;
+        return isMember(facts.members, entry.first) || now - entry.second.askedAt > JoinRequestLifetime;
     });
     for (const auto &[id, joiner] : this->joiners) {
         facts.joiners.push_back(joiner.replica);
     }
-    if (this->changing) {
+    if (this->changeInProgress) {
         return;
     }
     const std::optional<wire::ChangeMember> change = raft::nextChange(facts);
     if (!change) {
         return;
     }
-    this->changing = true;
+    this->changeInProgress = true;
     this->node.changeMembership(*change, [this, alive = this->alive, change](const ProposeResult &result) {
         if (!*alive) {
             return;
         }
-        this->changing = false;
+        this->changeInProgress = false;
         if (result.kind == ProposeOutcome::Applied) {
             Log.info(wire::ChangeMember::Change_Name(change->change()) + " of " + change->replica().id() + " done, "
                      + std::to_string(raft::countVoters(this->node.membership())) + " voters");
--- a/src/process/MembershipManager.h
+++ b/src/process/MembershipManager.h
@@ -12,8 +12,8 @@
 class ReplicaNode;
 
 /**
- * Looks after the membership of a control group that keeps itself: a replica that is no member asks to be taken in, and
- * the leader carries out one change after the other (raft::nextChange()).
+ * Manages the membership of a control group without operators: a replica that is not a member asks to join, and the
+ * leader makes one membership change at a time (raft::nextChange()).
  * Owned by the control process; used on the loop's thread.
  */
 class MembershipManager
@@ -25,13 +25,13 @@
     MembershipManager(const MembershipManager &) = delete;
     MembershipManager &operator=(const MembershipManager &) = delete;
 
-    /** A replica asks this leader to be taken in. */
+    /** Called when a replica asks this leader to join the group. */
     void joinRequested(const wire::Replica &replica);
 
     /**
-     * Guards against a change that is acknowledged and lost: with only the first three voters, two lost disks take it
-     * with them.
-     * @return whether the group is large enough for what it acknowledges, or nobody has come for a long time
+     * Guards against acknowledging a change that is then lost: with only the first three voters, losing two disks loses
+     * it.
+     * @return whether the group has the wanted number of voters, or this leader has waited the join grace for joiners
      */
     bool canAcknowledge() const;
 
@@ -41,7 +41,7 @@
         BootTime askedAt;
     };
 
-    void look();
+    void checkMembership();
     void requestJoin();
     void changeMembership(BootTime now);
 
@@ -51,8 +51,8 @@
     const std::string replicaId;
     std::map<std::string, Joiner> joiners;
     BootTime leaderSince;
-    BootTime leaderSeen;
-    bool changing = false;
+    BootTime leaderSeenAt;
+    bool changeInProgress = false;
     loop::TimerId timer = 0;
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 };
--- a/src/process/OwnProtocol.cpp
+++ b/src/process/OwnProtocol.cpp
@@ -29,7 +29,7 @@
     return refusalAnswer(refusal.facts, *refusal.random);
 }
 
-std::optional<double> saysNothingOfSpeed(const net::HttpAnswer &)
+std::optional<double> readNoSlowness(const net::HttpAnswer &)
 {
     return std::nullopt;
 }
@@ -51,7 +51,7 @@
         .refuse = refuseOwn,
         .addRequestMetadata = addRequestMetadata,
         .readAttemptResult = readAttemptResult,
-        .readSlowness = saysNothingOfSpeed,
+        .readSlowness = readNoSlowness,
         .readHeartbeat = nullptr,
         .answerHeartbeat = nullptr,
         .healthCall = ownHealthCall,
--- a/src/process/ReplicaIdentity.cpp
+++ b/src/process/ReplicaIdentity.cpp
@@ -15,7 +15,7 @@
     return "founder-" + endpoint.substr(0, endpoint.rfind(':'));
 }
 
-std::string newcomerId(const std::string &address)
+std::string joinerId(const std::string &address)
 {
     std::random_device device;
     char number[16];
@@ -43,22 +43,22 @@
 
 } // namespace
 
-Findings takeIdentity(ControlSettings &settings)
+Findings determineIdentity(ControlSettings &settings)
 {
-    const Result<std::string> known = disk::Storage::replicaIdOf(settings.dataFolder);
-    if (!known) {
-        return known.error();
+    const Result<std::string> storedId = disk::Storage::replicaIdOf(settings.dataFolder);
+    if (!storedId) {
+        return storedId.error();
     }
     const std::vector<std::string> &seeds = settings.group->seeds;
-    const std::string own = settings.address + ":" + std::to_string(settings.raftPort);
-    const bool isSeed = std::find(seeds.begin(), seeds.end(), own) != seeds.end();
-    const bool founds =
-        known.value().empty() ? settings.group->firstStart && isSeed : known.value() == founderId(own) && isSeed;
-    settings.replicaId = !known.value().empty() ? known.value()
-                         : founds               ? founderId(own)
-                                                : newcomerId(settings.address);
-    settings.join = !founds;
-    settings.initial = founds ? founders(settings) : wire::Membership();
+    const std::string ownEndpoint = settings.address + ":" + std::to_string(settings.raftPort);
+    const bool isSeed = std::find(seeds.begin(), seeds.end(), ownEndpoint) != seeds.end();
+    const bool isFounder = storedId.value().empty() ? settings.group->firstStart && isSeed
+                                                    : storedId.value() == founderId(ownEndpoint) && isSeed;
+    settings.replicaId = !storedId.value().empty() ? storedId.value()
+                         : isFounder               ? founderId(ownEndpoint)
+                                                   : joinerId(settings.address);
+    settings.join = !isFounder;
+    settings.initial = isFounder ? founders(settings) : wire::Membership();
     return {};
 }
 
--- a/src/process/ReplicaIdentity.h
+++ b/src/process/ReplicaIdentity.h
@@ -6,14 +6,16 @@
 namespace bergamotweir::process {
 
 /**
- * Fills in who a replica is, where its group keeps its own membership: its id, the first members, and whether it joins.
+ * Fills in the identity of a replica whose group manages its own membership: its id, the first members, and whether it
+ * joins.
  *
- * Guards against two groups, and against a replica that comes back without its disk under its old id: its votes and
- * entries are gone, and a group that counted it as the same would lose what it acknowledged. Only a seed on the very
- * first start of the deployment founds the group; every other empty disk is a new replica that asks to join.
+ * Prevents two groups from forming, and a replica that lost its disk from returning under its old id: its votes and
+ * entries are lost, and a group that counted it as the same replica could lose changes that it acknowledged. Only a
+ * seed on the first start of the deployment forms the group; any other replica with an empty disk gets a new id and
+ * asks to join.
  * @param settings with the group set
  * @return nothing, or why the data folder can't be read
  */
-Findings takeIdentity(ControlSettings &settings);
+Findings determineIdentity(ControlSettings &settings);
 
 } // namespace bergamotweir::process
--- a/src/process/ReplicaNode.cpp
+++ b/src/process/ReplicaNode.cpp
@@ -15,10 +15,10 @@
 
 namespace {
 
-/** How often time passes for the core; a fifth of a heartbeat. */
+/** How often the consensus core's clock advances; a fifth of a heartbeat. */
 constexpr std::chrono::milliseconds TickInterval{10};
 
-/** A larger command is refused: with its envelope it must fit one message. */
+/** Larger commands are refused: a command with its envelope must fit into one message. */
 constexpr std::size_t MaxCommandBytes = rpc::RaftTransport::MaxMessageBytes / 2;
 
 constexpr loop::Log Log("replica");
@@ -49,9 +49,9 @@
     Findings openParts(disk::FileOperations files);
     void postIfAlive(std::function<void()> task);
     void joinRequested(const wire::RaftMessage &message);
-    void scheduleTurn();
-    void endTurn();
-    void endProposals();
+    void scheduleCoreActions();
+    void performCoreActions();
+    void abandonProposals();
     void diskFailed(const Findings &findings);
 
     void perform(raft::WriteDisk &action);
@@ -73,14 +73,14 @@
     std::unique_ptr<rpc::RaftTransport> transport;
     std::optional<raft::RaftCore> core;
     loop::TimerId tick = 0;
-    bool turnScheduled = false;
+    bool coreActionsScheduled = false;
     bool leading = false;
     wire::Version applied;
     raft::RequestId lastRequest = 0;
     std::map<std::uint64_t, Proposal> proposals; ///< By index in the log.
     std::map<raft::RequestId, std::function<void(bool)>> confirms;
     std::map<raft::RequestId, std::function<void(ProposeResult)>> changes;
-    std::vector<std::function<void()>> handOvers;
+    std::vector<std::function<void()>> leadershipTransfers;
 };
 
 Findings ReplicaNode::Parts::openParts(disk::FileOperations files)
@@ -99,7 +99,7 @@
                 return;
             }
             this->core->receive(message, BootClock::now());
-            this->scheduleTurn();
+            this->scheduleCoreActions();
         });
     if (!transport) {
         return transport.error();
@@ -121,7 +121,7 @@
                                   loop.post([this, alive, ticket] {
                                       if (*alive) {
                                           this->core->diskSynced(ticket);
-                                          this->scheduleTurn();
+                                          this->scheduleCoreActions();
                                       }
                                   });
                               },
@@ -135,9 +135,9 @@
                               }});
     this->tick = this->loop.every(TickInterval, [this] {
         this->core->tick(BootClock::now());
-        this->endTurn();
+        this->performCoreActions();
     });
-    this->endTurn();
+    this->performCoreActions();
     return {};
 }
 
@@ -158,10 +158,10 @@
         }
         return;
     }
-    // Passed on once only: two replicas that each take the other for the leader must not keep it going.
-    const bool passedOn = !message.to().empty();
+    // Forwarded once only: two replicas that each take the other for the leader would otherwise forward it forever.
+    const bool alreadyForwarded = !message.to().empty();
     for (const wire::Replica &replica : this->core->membership().replicas()) {
-        if (!passedOn && replica.id() == this->core->leaderId()) {
+        if (!alreadyForwarded && replica.id() == this->core->leaderId()) {
             wire::RaftMessage copy = message;
             copy.set_to(replica.id());
             this->transport->send(replica.address(), std::move(copy));
@@ -169,20 +169,20 @@
     }
 }
 
-/** Everything posted before this turn's end shares one append and one sync. */
-void ReplicaNode::Parts::scheduleTurn()
+/** Defers the actions to the end of the loop turn, so that all work of the turn shares one append and one sync. */
+void ReplicaNode::Parts::scheduleCoreActions()
 {
-    if (this->turnScheduled) {
+    if (this->coreActionsScheduled) {
         return;
     }
-    this->turnScheduled = true;
+    this->coreActionsScheduled = true;
     this->postIfAlive([this] {
-        this->turnScheduled = false;
-        this->endTurn();
+        this->coreActionsScheduled = false;
+        this->performCoreActions();
     });
 }
 
-void ReplicaNode::Parts::endTurn()
+void ReplicaNode::Parts::performCoreActions()
 {
     for (raft::Action &action : this->core->takeActions()) {
         std::visit(
@@ -198,7 +198,7 @@
     Log.error("stopped: the disk can't be written");
     Log.error(findings);
     this->core->diskFailed();
-    this->endTurn();
+    this->performCoreActions();
     if (this->hooks.stopped) {
         this->hooks.stopped(findings);
     }
@@ -248,25 +248,25 @@
 void ReplicaNode::Parts::perform(raft::TakeSnapshot &action)
 {
     this->core->snapshotTaken(action.index, this->hooks.snapshot());
-    this->scheduleTurn();
+    this->scheduleCoreActions();
 }
 
 void ReplicaNode::Parts::perform(raft::BecameLeader &action)
 {
-    Log.info("leads in term " + std::to_string(action.term));
+    Log.info("became leader in term " + std::to_string(action.term));
     this->leading = true;
     this->hooks.leadershipChanged(true, action.term);
 }
 
 void ReplicaNode::Parts::perform(raft::LostLeadership &action)
 {
-    Log.info("leads no more, term " + std::to_string(action.term));
+    Log.info("lost leadership in term " + std::to_string(action.term));
     this->leading = false;
-    this->endProposals();
+    this->abandonProposals();
     this->hooks.leadershipChanged(false, action.term);
 }
 
-void ReplicaNode::Parts::endProposals()
+void ReplicaNode::Parts::abandonProposals()
 {
     for (auto &[index, proposal] : std::exchange(this->proposals, {})) {
         ProposeResult result;
@@ -304,7 +304,7 @@
 
 void ReplicaNode::Parts::perform(raft::LeadershipTransferEnded &)
 {
-    for (const std::function<void()> &done : std::exchange(this->handOvers, {})) {
+    for (const std::function<void()> &done : std::exchange(this->leadershipTransfers, {})) {
         done();
     }
 }
@@ -341,7 +341,7 @@
         refused.findings = oneFinding("command", "is larger than " + std::to_string(MaxCommandBytes) + " bytes");
     } else if (const std::optional<wire::Version> version = this->parts->core->propose(std::move(command))) {
         this->parts->proposals[version->index()] = {version->term(), std::move(done)};
-        this->parts->scheduleTurn();
+        this->parts->scheduleCoreActions();
         return;
     }
     this->parts->loop.post([done = std::move(done), refused = std::move(refused)] {
@@ -354,7 +354,7 @@
     const raft::RequestId request = ++this->parts->lastRequest;
     this->parts->confirms[request] = std::move(done);
     this->parts->core->confirm(request);
-    this->parts->scheduleTurn();
+    this->parts->scheduleCoreActions();
 }
 
 bool ReplicaNode::isLeader() const
@@ -409,7 +409,7 @@
     const raft::RequestId request = ++this->parts->lastRequest;
     this->parts->changes[request] = std::move(done);
     this->parts->core->changeMember(request, change);
-    this->parts->scheduleTurn();
+    this->parts->scheduleCoreActions();
 }
 
 void ReplicaNode::requestJoin(const std::vector<std::string> &addresses)
@@ -434,9 +434,9 @@
 
 void ReplicaNode::transferLeadership(std::function<void()> done)
 {
-    this->parts->handOvers.push_back(std::move(done));
+    this->parts->leadershipTransfers.push_back(std::move(done));
     this->parts->core->transferLeadership();
-    this->parts->scheduleTurn();
+    this->parts->scheduleCoreActions();
 }
 
 } // namespace bergamotweir::process
--- a/src/process/RequestRunner.cpp
+++ b/src/process/RequestRunner.cpp
@@ -26,10 +26,10 @@
 
 constexpr std::size_t MaxRunning = 16384;
 constexpr std::size_t MaxWaiting = 4096;
-/** Taken off the deadline at each hop, so that the agent that the caller waits for is the last to give up. */
+/** Subtracted from the deadline at each hop, so that the agent that the caller waits for times out last. */
 constexpr milliseconds HopMargin{2};
 
-/** @return how the other agent says that the attempt ended; its answer is an upstream's unless it says otherwise */
+/** @return how the attempt ended at the other agent; an answer without an outcome header is the upstream's */
 AttemptResult readPeerResult(const net::CallResult &result)
 {
     if (result.outcome != net::CallOutcome::Answered) {
@@ -69,7 +69,7 @@
     auto parsed = this->read(exchange->request(), origin, now);
     if (auto *refusal = std::get_if<net::HttpAnswer>(&parsed)) {
         if (origin == Origin::Peer) {
-            // This agent's table may be behind the sender's, which waits and asks again.
+            // This agent's table may be older than the sender's; the sender waits and retries.
             refusal->headers.push_back({OutcomeHeader, std::string(agent::toText(AttemptOutcome::NotOwner))});
         }
         Log.event(loop::LogLevel::Warn, "request not routed")
@@ -80,8 +80,8 @@
         return;
     }
     if (origin == Origin::Caller) {
-        if (auto beyondLimit = this->refuseBeyondLimit(std::get<ParsedRequest>(parsed))) {
-            exchange->answer(std::move(*beyondLimit));
+        if (auto limitRefusal = this->refuseBeyondLimit(std::get<ParsedRequest>(parsed))) {
+            exchange->answer(std::move(*limitRefusal));
             return;
         }
     }
@@ -128,8 +128,8 @@
 RequestRunner::read(const net::HttpRequest &request, Origin origin, BootTime now)
 {
     if (origin == Origin::Caller && this->state.map.version.index() == 0) {
-        // Guards against a service that seems not to exist. It shows as 404, which nobody sends again, from an agent
-        // that has just started and hasn't heard from control which services there are.
+        // Without this check an agent that has just started, and has not received the services from control yet, would
+        // answer 404, which callers don't retry.
         const agent::RefusalDetails refusal{
             .outcome = AttemptOutcome::NotOwner, .status = 503, .ran = agent::Ran::No, .retryAfter = true};
         return this->state.protocol->refuse({refusal, &this->state.random});
@@ -151,10 +151,10 @@
     }
     Running &request = *found->second;
     request.events.push_back(event);
-    if (request.handling) {
+    if (request.isHandlingEvents) {
         return;
     }
-    request.handling = true;
+    request.isHandlingEvents = true;
     while (!request.events.empty()) {
         const agent::RequestEvent next = request.events.front();
         request.events.pop_front();
@@ -164,7 +164,7 @@
             this->perform(request, action);
         }
     }
-    request.handling = false;
+    request.isHandlingEvents = false;
     if (request.state.stage == agent::Stage::Ended && !request.claimPending) {
         this->finish(request);
         this->running.erase(number);
@@ -220,17 +220,17 @@
         this->needs.metrics->keyedRequestWithoutOwner();
     }
     const Number number = request.number;
-    if (this->waiting >= MaxWaiting) {
+    if (this->waitingCount >= MaxWaiting) {
         this->handle(number, {.kind = EventKind::WaitRefused});
         return;
     }
-    this->waiting++;
-    request.waits = true;
+    this->waitingCount++;
+    request.isWaiting = true;
     request.waitTimer = this->loop.after(delay, [this, number] {
         const auto found = this->running.find(number);
-        if (found != this->running.end() && found->second->waits) {
-            found->second->waits = false;
-            this->waiting--;
+        if (found != this->running.end() && found->second->isWaiting) {
+            found->second->isWaiting = false;
+            this->waitingCount--;
             this->handle(number, {.kind = EventKind::Woken});
         }
     });
@@ -240,7 +240,7 @@
 {
     std::vector<Number> woken;
     for (const auto &[number, request] : this->running) {
-        if (request->waits
+        if (request->isWaiting
             && (request->state.lastOutcome == AttemptOutcome::NotOwner
                 || request->state.lastOutcome == AttemptOutcome::NotSent)) {
             woken.push_back(number);
@@ -249,13 +249,13 @@
     std::sort(woken.begin(), woken.end());
     for (const Number number : woken) {
         const auto found = this->running.find(number);
-        if (found == this->running.end() || !found->second->waits) {
+        if (found == this->running.end() || !found->second->isWaiting) {
             continue;
         }
         Running &request = *found->second;
         this->loop.cancel(request.waitTimer);
-        request.waits = false;
-        this->waiting--;
+        request.isWaiting = false;
+        this->waitingCount--;
         this->handle(number, {.kind = EventKind::Woken});
     }
 }
@@ -330,7 +330,10 @@
     }
 }
 
-/** The last check before a request is handed to an upstream: ownership and lease as they are now. */
+/**
+ * Checks quarantine, ownership and lease as they are now, immediately before a request is sent to an upstream.
+ * @return Answered when the request may be dispatched, otherwise how the attempt ends
+ */
 AttemptOutcome RequestRunner::checkDispatch(const Running &request, std::uint64_t &epoch) const
 {
     const agent::RequestFacts &facts = request.state.facts;
@@ -467,8 +470,8 @@
     this->loop.cancel(request.deadlineTimer);
     this->loop.cancel(request.waitTimer);
     this->loop.cancel(request.hedgeTimer);
-    if (request.waits) {
-        this->waiting--;
+    if (request.isWaiting) {
+        this->waitingCount--;
     }
 }
 
--- a/src/process/RequestRunner.h
+++ b/src/process/RequestRunner.h
@@ -30,20 +30,20 @@
     std::string service;
     std::uint32_t upstream = 0;
     int status = 0;
-    /** A problem of the system's own. */
+    /** True when the system itself refused the request. */
     bool refused = false;
     std::chrono::nanoseconds latency{0};
 };
 
-/** What a RequestRunner needs of its owner. */
+/** Dependencies of a RequestRunner, provided by its owner. */
 struct RequestRunnerNeeds {
-    /** @return the local upstream that control knows by this id, or nullptr */
+    /** @return the local upstream with this id in control's state, or nullptr */
     std::function<LocalUpstream *(std::uint32_t)> localUpstream;
     rpc::ClaimClient *claims = nullptr;
     /** May be nullptr. */
     AgentMetrics *metrics = nullptr;
     std::function<void(const RequestSummary &)> ended;
-    /** Control should hear of the demand of workspaces at once; may be empty. */
+    /** Called when the demand of workspaces should be reported to control at once; may be empty. */
     std::function<void()> demandRose;
 };
 
@@ -59,16 +59,16 @@
     RequestRunner(const RequestRunner &) = delete;
     RequestRunner &operator=(const RequestRunner &) = delete;
 
-    /** Takes a request from a caller or from another agent. */
+    /** Accepts a request from a caller or from another agent. */
     void accept(const std::shared_ptr<net::Exchange> &exchange, Origin origin);
 
-    /** Routes, table or marks changed: requests that wait for an owner look again. */
+    /** Called when routes, table or marks have changed: requests that wait for an owner are routed again. */
     void stateChanged();
 
-    /** A gate decided on a waiting ticket. */
+    /** Called when a gate has decided on a queued ticket. */
     void gateDecided(std::uint64_t ticket, bool admitted);
 
-    /** @return requests whose answer is outstanding */
+    /** @return the number of requests that have not been answered yet */
     std::size_t inProgress() const;
 
 private:
@@ -81,7 +81,7 @@
     void perform(Running &request, const agent::RequestAction &action);
     void claim(Running &request);
     void route(Running &request);
-    void logChoice(const Running &request, std::uint32_t upstream) const;
+    void logUpstreamChoice(const Running &request, std::uint32_t upstream) const;
     void recordTime(const Running &request, const LiveAttempt &attempt);
     std::uint32_t routeKeyed(const Running &request) const;
     std::uint32_t routeUnkeyed(Running &request);
@@ -94,11 +94,11 @@
     void cancel(Running &request, unsigned attempt);
     void relay(Running &request, unsigned attempt);
     void relayRecorded(Running &request);
-    /** @return the refusal when the limit of the caller's workspace lets no request through now */
+    /** @return the refusal if the limit of the caller's workspace admits no request now */
     std::optional<net::HttpAnswer> refuseBeyondLimit(ParsedRequest &parsed);
-    /** Takes back the count of a refused request against its workspace's limit, unless it may have run. */
+    /** Stops counting a refused request against its workspace's share of the limit, unless it may have run. */
     void returnAdmission(const Running &request, const agent::RefusalDetails &refusal);
-    void countEnd(const Running &request, std::string_view outcomeLabel, int status);
+    void recordCompletion(const Running &request, std::string_view outcomeLabel, int status);
     void refuse(Running &request, const agent::RefusalDetails &refusal);
     void record(Running &request, const agent::RequestAction &action);
     void attemptEnded(
@@ -113,7 +113,7 @@
     net::HttpClient peers;
     std::unordered_map<Number, std::unique_ptr<Running>> running;
     std::unordered_map<std::uint64_t, std::pair<Number, unsigned>> tickets;
-    std::size_t waiting = 0;
+    std::size_t waitingCount = 0;
     Number lastNumber = 0;
     std::uint64_t lastTicket = 0;
     std::string idPrefix;
--- a/src/process/RequestRunnerAnswers.cpp
+++ b/src/process/RequestRunnerAnswers.cpp
@@ -22,7 +22,7 @@
     return load == nullptr ? -1 : std::strtod(load->c_str(), nullptr);
 }
 
-AttemptOutcome endOf(const agent::RefusalDetails &refusal)
+AttemptOutcome reportedOutcome(const agent::RefusalDetails &refusal)
 {
     return refusal.cause == agent::RefusalCause::DeadlinePassed ? AttemptOutcome::TimedOut : refusal.outcome;
 }
@@ -78,14 +78,14 @@
 void RequestRunner::relay(Running &request, unsigned attempt)
 {
     const LiveAttempt &live = request.attempts.at(attempt);
-    const wire::UpstreamInfo *by = agent::findUpstream(this->state.map, live.upstream);
+    const wire::UpstreamInfo *upstream = agent::findUpstream(this->state.map, live.upstream);
     Log.event(loop::LogLevel::Info, "request answered", loop::RoutineBound)
         .with("request", request.parsed.requestId)
         .with("status", live.answer.status)
-        .with("upstream", by == nullptr ? "" : by->name())
+        .with("upstream", upstream == nullptr ? "" : upstream->name())
         .with("tries", request.state.tries)
         .with("latency_ms", BootClock::now() - request.acceptedAt);
-    this->countEnd(request, "answered", live.answer.status);
+    this->recordCompletion(request, "answered", live.answer.status);
     net::HttpAnswer answer = this->state.protocol->answerForCaller(live.answer);
     if (request.origin == Origin::Peer) {
         const LocalUpstream *local = this->needs.localUpstream(live.upstream);
@@ -100,15 +100,15 @@
     request.exchange->answer(std::move(answer));
 }
 
-void RequestRunner::countEnd(const Running &request, std::string_view outcomeLabel, int status)
+void RequestRunner::recordCompletion(const Running &request, std::string_view outcomeLabel, int status)
 {
     if (this->needs.metrics == nullptr || request.origin == Origin::Peer) {
         return;
     }
-    const table::RouteKind byMethod =
+    const table::RouteKind kindFromMethod =
         agent::canRetry(request.state.facts) ? table::RouteKind::Idempotent : table::RouteKind::NonIdempotent;
     this->needs.metrics->requestEnded(
-        request.parsed.route, request.parsed.kind.value_or(byMethod), outcomeLabel, status);
+        request.parsed.route, request.parsed.kind.value_or(kindFromMethod), outcomeLabel, status);
     this->needs.metrics->spent(TimeSpent::Whole, request.state.facts.service, BootClock::now() - request.acceptedAt);
     if (request.state.tries > 1) {
         this->needs.metrics->retried(request.state.facts.service,
@@ -122,19 +122,19 @@
     Log.event(loop::LogLevel::Warn, "request refused")
         .with("request", request.parsed.requestId)
         .with("service", request.state.facts.service)
-        .with("reason", agent::toText(endOf(refusal)))
+        .with("reason", agent::toText(reportedOutcome(refusal)))
         .with("ran", RanNames.at(static_cast<std::size_t>(refusal.ran)))
         .with("tries", request.state.tries)
         .with("took_ms", BootClock::now() - request.acceptedAt)
         .with("deadline_left_ms", request.state.facts.deadline - BootClock::now());
-    this->countEnd(request, "refused", refusal.status);
+    this->recordCompletion(request, "refused", refusal.status);
     this->returnAdmission(request, refusal);
     if (this->needs.metrics != nullptr) {
-        this->needs.metrics->refused(agent::toText(endOf(refusal)));
+        this->needs.metrics->refused(agent::toText(reportedOutcome(refusal)));
     }
     net::HttpAnswer answer = this->state.protocol->refuse({refusal, &this->state.random});
     if (request.origin == Origin::Peer) {
-        answer.headers.push_back({OutcomeHeader, std::string(agent::toText(endOf(refusal)))});
+        answer.headers.push_back({OutcomeHeader, std::string(agent::toText(reportedOutcome(refusal)))});
     } else {
         this->needs.ended({.service = request.state.facts.service,
                            .upstream = request.state.tried.empty() ? 0 : request.state.tried.back(),
--- a/src/process/RequestRunnerClaims.cpp
+++ b/src/process/RequestRunnerClaims.cpp
@@ -12,8 +12,8 @@
 using std::chrono::milliseconds;
 
 constexpr milliseconds RecordTimeout{10000};
-/** Answers larger than this aren't kept with a claim. */
-constexpr std::size_t MaxRecordedBody = 16384;
+/** Larger bodies of answers are not stored with a claim. */
+constexpr std::size_t MaxRecordedBodyBytes = 16384;
 
 agent::ClaimAnswer claimAnswer(const wire::ClaimReply &reply)
 {
@@ -89,7 +89,7 @@
     if (action.claimResolution == agent::ClaimResolution::Answered) {
         const net::HttpAnswer &answer = request.attempts.at(action.attempt).answer;
         outcome.set_status(static_cast<std::uint32_t>(answer.status));
-        outcome.set_body_dropped(answer.body.size() > MaxRecordedBody);
+        outcome.set_body_dropped(answer.body.size() > MaxRecordedBodyBytes);
         if (!outcome.body_dropped()) {
             outcome.set_body(answer.body);
         }
--- a/src/process/RequestRunnerLog.cpp
+++ b/src/process/RequestRunnerLog.cpp
@@ -11,8 +11,8 @@
 
 } // namespace
 
-/** Tells which upstream was chosen by what; that there is none counts as a failure. */
-void RequestRunner::logChoice(const Running &request, std::uint32_t upstream) const
+/** Logs which upstream was chosen and why; a warning when there is none. */
+void RequestRunner::logUpstreamChoice(const Running &request, std::uint32_t upstream) const
 {
     const agent::RequestFacts &facts = request.state.facts;
     const wire::UpstreamInfo *known = agent::findUpstream(this->state.map, upstream);
--- a/src/process/RequestRunnerRouting.cpp
+++ b/src/process/RequestRunnerRouting.cpp
@@ -16,7 +16,7 @@
         upstream = this->routeUnkeyed(request);
     }
     const bool local = upstream != 0 && this->needs.localUpstream(upstream) != nullptr;
-    this->logChoice(request, upstream);
+    this->logUpstreamChoice(request, upstream);
     this->handle(request.number, {.kind = agent::EventKind::Routed, .upstream = upstream, .local = local});
 }
 
@@ -31,11 +31,11 @@
     if (!this->state.ownership.ownUpstreams.contains(slice->owner)) {
         return slice->owner;
     }
-    const bool served =
+    const bool isServedHere =
         this->needs.localUpstream(slice->owner) != nullptr
         && agent::ownsLocally(
             this->state.ownership, this->state.map, this->state.lease, facts.service, facts.hash, BootClock::now());
-    return served ? slice->owner : 0;
+    return isServedHere ? slice->owner : 0;
 }
 
 std::uint32_t RequestRunner::routeUnkeyed(Running &request)
@@ -48,12 +48,12 @@
 std::uint32_t RequestRunner::routeForwarded(const Running &request) const
 {
     const agent::RequestFacts &facts = request.state.facts;
-    const std::uint32_t wanted = request.parsed.requestedUpstream;
-    const LocalUpstream *upstream = this->needs.localUpstream(wanted);
+    const std::uint32_t requested = request.parsed.requestedUpstream;
+    const LocalUpstream *upstream = this->needs.localUpstream(requested);
     if (upstream == nullptr || upstream->announcement().service != facts.service) {
         return 0;
     }
-    return facts.keyed && this->routeKeyed(request) != wanted ? 0 : wanted;
+    return facts.keyed && this->routeKeyed(request) != requested ? 0 : requested;
 }
 
 } // namespace bergamotweir::process
--- a/src/process/RequestText.cpp
+++ b/src/process/RequestText.cpp
@@ -20,11 +20,11 @@
 using std::chrono::milliseconds;
 
 constexpr std::string_view Prefix = "/s/";
-constexpr milliseconds LongestTimeout{std::chrono::minutes(10)};
+constexpr milliseconds MaxRequestTimeout{std::chrono::minutes(10)};
 constexpr std::size_t MaxKeyLength = 1024;
 constexpr std::size_t MaxIdempotencyKeyLength = 256;
-constexpr unsigned ShortestRetryAfter = 1;
-constexpr unsigned RetryAfterSpread = 3;
+constexpr unsigned MinRetryAfterSeconds = 1;
+constexpr unsigned RetryAfterSpreadSeconds = 3;
 constexpr std::string_view OwnPrefix = "bergamotweir-";
 
 bool equalNames(std::string_view left, std::string_view right)
@@ -35,8 +35,8 @@
 bool isOwnHeader(std::string_view name)
 {
     static constexpr std::array<std::string_view, 4> Own{"Request-Id", "Grant-Epoch", LoadHeader, "Request-Timeout"};
-    const bool prefixed = name.size() > OwnPrefix.size() && equalNames(name.substr(0, OwnPrefix.size()), OwnPrefix);
-    return prefixed || std::any_of(Own.begin(), Own.end(), [&](std::string_view own) {
+    const bool hasOwnPrefix = name.size() > OwnPrefix.size() && equalNames(name.substr(0, OwnPrefix.size()), OwnPrefix);
+    return hasOwnPrefix || std::any_of(Own.begin(), Own.end(), [&](std::string_view own) {
                return equalNames(name, own);
            });
 }
@@ -72,18 +72,18 @@
     return std::string(target.substr(0, target.find_first_of("/?")));
 }
 
-/** @return the deadline, or nothing when the header field is no number of milliseconds */
-std::optional<BootTime> readDeadline(const net::HttpRequest &request, milliseconds standard, BootTime now)
+/** @return the deadline, or nothing when the header field is not a number of milliseconds above 0 */
+std::optional<BootTime> readDeadline(const net::HttpRequest &request, milliseconds defaultTimeout, BootTime now)
 {
     const std::string text = headerText(request, "Request-Timeout");
     if (text.empty()) {
-        return now + standard;
+        return now + defaultTimeout;
     }
-    const std::optional<std::uint64_t> wanted = readNumber(text);
-    if (!wanted || *wanted == 0) {
+    const std::optional<std::uint64_t> requested = readNumber(text);
+    if (!requested || *requested == 0) {
         return std::nullopt;
     }
-    const auto bounded = std::min<std::uint64_t>(*wanted, static_cast<std::uint64_t>(LongestTimeout.count()));
+    const auto bounded = std::min<std::uint64_t>(*requested, static_cast<std::uint64_t>(MaxRequestTimeout.count()));
     return now + milliseconds(bounded);
 }
 
@@ -91,8 +91,8 @@
 {
     parsed.facts.forwarded = true;
     parsed.requestId = headerText(request, "Request-Id");
-    const std::uint64_t wanted = readNumber(headerText(request, UpstreamHeader)).value_or(0);
-    parsed.requestedUpstream = static_cast<std::uint32_t>(wanted);
+    const std::uint64_t requestedUpstream = readNumber(headerText(request, UpstreamHeader)).value_or(0);
+    parsed.requestedUpstream = static_cast<std::uint32_t>(requestedUpstream);
     parsed.suspect = !headerText(request, SuspectHeader).empty();
 }
 
@@ -209,17 +209,17 @@
 
 namespace {
 
-std::string urgencyText(const agent::QueuePriority &queuePriority, BootTime now)
+std::string queuePriorityText(const agent::QueuePriority &queuePriority, BootTime now)
 {
-    const auto from = [&](BootTime time) {
+    const auto millisecondsUntil = [&](BootTime time) {
         return std::to_string(std::chrono::duration_cast<milliseconds>(time - now).count());
     };
-    return std::to_string(queuePriority.priority) + " " + from(queuePriority.targetDeadline) + " "
-           + from(queuePriority.dispatchDeadline);
+    return std::to_string(queuePriority.priority) + " " + millisecondsUntil(queuePriority.targetDeadline) + " "
+           + millisecondsUntil(queuePriority.dispatchDeadline);
 }
 
-/** @return what urgencyText() told, or the least urgent of all */
-agent::QueuePriority readUrgency(const std::string &text, BootTime now)
+/** @return what queuePriorityText() wrote, or the default when the text can't be parsed */
+agent::QueuePriority readQueuePriority(const std::string &text, BootTime now)
 {
     agent::QueuePriority queuePriority;
     long targetDeadline = 0;
@@ -236,11 +236,11 @@
 void addForwarding(std::vector<net::Header> &headers, const ParsedRequest &parsed, BootTime now)
 {
     if (parsed.facts.queuePriority.dispatchDeadline != BootTime::max()) {
-        headers.push_back({QueuePriorityHeader, urgencyText(parsed.facts.queuePriority, now)});
+        headers.push_back({QueuePriorityHeader, queuePriorityText(parsed.facts.queuePriority, now)});
     }
     headers.push_back({ServiceHeader, parsed.facts.service});
     if (parsed.facts.keyed) {
-        headers.push_back({PlaceHeader, std::to_string(parsed.facts.hash)});
+        headers.push_back({KeyHashHeader, std::to_string(parsed.facts.hash)});
     }
     headers.push_back({FingerprintHeader, std::to_string(parsed.fingerprint)});
     headers.push_back({RepeatableHeader, agent::canRetry(parsed.facts) ? "1" : "0"});
@@ -264,10 +264,10 @@
         return badRequest("a forwarded request names no service or has no time left");
     }
     parsed.facts.deadline = *deadline;
-    parsed.facts.queuePriority = readUrgency(headerText(request, QueuePriorityHeader), now);
-    if (const std::optional<std::uint64_t> place = readNumber(headerText(request, PlaceHeader))) {
+    parsed.facts.queuePriority = readQueuePriority(headerText(request, QueuePriorityHeader), now);
+    if (const std::optional<std::uint64_t> keyHash = readNumber(headerText(request, KeyHashHeader))) {
         parsed.facts.keyed = true;
-        parsed.facts.hash = *place;
+        parsed.facts.hash = *keyHash;
     }
     parsed.fingerprint = readNumber(headerText(request, FingerprintHeader)).value_or(0);
     readPeerFields(request, parsed);
@@ -278,8 +278,8 @@
 {
     std::vector<net::Header> headers;
     for (const net::Header &header : request.headers) {
-        const bool host = equalNames(header.name, "Host") || equalNames(header.name, "Expect");
-        if (!net::isConnectionHeader(header.name) && !isOwnHeader(header.name) && !host) {
+        const bool isHostOrExpect = equalNames(header.name, "Host") || equalNames(header.name, "Expect");
+        if (!net::isConnectionHeader(header.name) && !isOwnHeader(header.name) && !isHostOrExpect) {
             headers.push_back(header);
         }
     }
@@ -299,7 +299,8 @@
     const RefusalText text = textOf(refusal);
     net::HttpAnswer answer = net::problem(refusal.status, text.title, text.detail, toWire(refusal.ran));
     if (refusal.retryAfter) {
-        answer.headers.push_back({"Retry-After", std::to_string(ShortestRetryAfter + random(RetryAfterSpread))});
+        answer.headers.push_back(
+            {"Retry-After", std::to_string(MinRetryAfterSeconds + random(RetryAfterSpreadSeconds))});
     }
     return answer;
 }
--- a/src/process/RequestText.h
+++ b/src/process/RequestText.h
@@ -17,17 +17,17 @@
 
 namespace bergamotweir::process {
 
-/** Header fields that agents use among themselves; none is taken from a caller or passed to one. */
+/** Header fields used between agents only: ignored in callers' requests and never passed to callers. */
 constexpr const char *OutcomeHeader = "Bergamotweir-End";
 constexpr const char *HopHeader = "Bergamotweir-Hop";
 constexpr const char *UpstreamHeader = "Bergamotweir-Upstream";
 constexpr const char *SuspectHeader = "Bergamotweir-Suspect";
 constexpr const char *LoadHeader = "Upstream-Load";
-/** What the first agent found out about a request, so that the next one needs no table of the same version. */
+/** What the first agent determined about a request, so that the next one does not need the same table version. */
 constexpr const char *ServiceHeader = "Bergamotweir-Service";
-constexpr const char *PlaceHeader = "Bergamotweir-Key-Place";
+constexpr const char *KeyHashHeader = "Bergamotweir-Key-Place";
 constexpr const char *FingerprintHeader = "Bergamotweir-Fingerprint";
-/** Priority, and the times in milliseconds by which the request wants to start and must have started. */
+/** Priority, target deadline and dispatch deadline in the queue; the deadlines in milliseconds from now. */
 constexpr const char *QueuePriorityHeader = "Bergamotweir-Urgency";
 constexpr const char *RepeatableHeader = "Bergamotweir-Repeatable";
 constexpr const char *OriginHeader = "Bergamotweir-Origin-Service";
@@ -40,21 +40,22 @@
 std::variant<ParsedRequest, net::HttpAnswer>
 parseRequest(const net::HttpRequest &request, const table::Table &table, Origin origin, BootTime now);
 
-/** Adds what the next agent has to know of a request; read back by readForwarded(). */
+/** Adds the header fields that the next agent needs of a request; they are read back by readForwarded(). */
 void addForwarding(std::vector<net::Header> &headers, const ParsedRequest &parsed, BootTime now);
 
-/** Reads a request that another agent has read before. @return the request, or the answer that refuses it (400) */
+/** Reads a request that another agent has parsed and forwarded. @return the request, or the answer that refuses it
+ * (400) */
 std::variant<ParsedRequest, net::HttpAnswer> readForwarded(const net::HttpRequest &request, BootTime now);
 
-/** @return header fields to pass on with the request: none of a connection, none of the system's own */
+/** @return the header fields to pass on with the request: without the connection's and the system's own */
 std::vector<net::Header> headersToForward(const net::HttpRequest &request);
 
-/** @return the answer to pass to the caller: without the fields that agents use among themselves */
+/** @return the answer to pass to the caller: without the header fields used between agents */
 net::HttpAnswer answerForCaller(net::HttpAnswer answer);
 
 /**
- * Makes the problem that a request is refused with.
- * @param random spreads Retry-After, so that callers who were refused together don't come back together
+ * Builds the problem document that refuses a request.
+ * @param random spreads Retry-After, so that callers refused together don't retry together
  */
 net::HttpAnswer refusalAnswer(const agent::RefusalDetails &refusal, pcg32 &random);
 
--- a/src/process/RunningRequest.h
+++ b/src/process/RunningRequest.h
@@ -5,19 +5,19 @@
 
 namespace bergamotweir::process {
 
-/** What belongs to a live attempt beside its state. */
+/** An attempt in flight, beside its part of agent::RequestState. */
 struct RequestRunner::LiveAttempt {
     std::uint32_t upstream = 0;
     bool local = false;
     std::uint64_t ticket = 0;
     net::CallId call = 0;
     BootTime begunAt;
-    /** Handed to the upstream beside this agent. */
+    /** When the attempt was sent to the local upstream; unset before. */
     BootTime dispatchedAt;
     net::HttpAnswer answer;
 };
 
-/** A request in progress: its state, and what the actions need. */
+/** A request in progress: its state and what its actions need. */
 struct RequestRunner::Running {
     Number number = 0;
     Origin origin = Origin::Caller;
@@ -28,10 +28,10 @@
     std::map<unsigned, LiveAttempt> attempts;
     wire::ClaimReply claim;
     bool claimPending = false;
-    /** Events that came up while an earlier one was handled. */
+    /** Events raised while an earlier one is being handled. */
     std::deque<agent::RequestEvent> events;
-    bool handling = false;
-    bool waits = false;
+    bool isHandlingEvents = false;
+    bool isWaiting = false;
     loop::TimerId deadlineTimer = 0;
     loop::TimerId waitTimer = 0;
     loop::TimerId hedgeTimer = 0;
--- a/src/process/UpstreamProtocol.cpp
+++ b/src/process/UpstreamProtocol.cpp
@@ -23,18 +23,18 @@
     value = found->get<std::string>();
 }
 
-std::uint64_t readNumber(const json &object, const char *field, std::uint64_t most, Findings &findings)
+std::uint64_t readNumber(const json &object, const char *field, std::uint64_t max, Findings &findings)
 {
     const auto found = object.find(field);
     if (found == object.end() || !found->is_number_unsigned() || found->get<std::uint64_t>() == 0
-        || found->get<std::uint64_t>() > most) {
-        findings.push_back({field, "missing or not a number of 1 to " + std::to_string(most), ""});
+        || found->get<std::uint64_t>() > max) {
+        findings.push_back({field, "missing or not a number of 1 to " + std::to_string(max), ""});
         return 1;
     }
     return found->get<std::uint64_t>();
 }
 
-net::HttpCall order(const std::string &address, const std::string &target, const json &body)
+net::HttpCall orderCall(const std::string &address, const std::string &target, const json &body)
 {
     net::HttpCall call;
     call.address = address;
@@ -50,7 +50,7 @@
 {
     json ranges = json::array();
     for (const GrantedRange &range : grant.ranges) {
-        // As text: JSON numbers lose 64-bit precision in many readers.
+        // As text: many JSON parsers lose precision in 64-bit numbers.
         ranges.push_back({{"begin", std::to_string(range.begin)}, {"end", std::to_string(range.end)}});
     }
     return ranges;
@@ -59,12 +59,13 @@
 AttemptResult readAnswer(const net::HttpAnswer &answer)
 {
     constexpr int FirstError = 400;
-    constexpr int NoRoomStatus = 503;
+    constexpr int OverloadedStatus = 503;
     const std::string *ran = net::findHeader(answer.headers, "Request-Ran");
     if (ran == nullptr || *ran != "no" || answer.status < FirstError) {
         return {agent::AttemptOutcome::Answered, true};
     }
-    return {answer.status == NoRoomStatus ? agent::AttemptOutcome::Overloaded : agent::AttemptOutcome::NotOwner, false};
+    return {answer.status == OverloadedStatus ? agent::AttemptOutcome::Overloaded : agent::AttemptOutcome::NotOwner,
+            false};
 }
 
 } // namespace
@@ -101,27 +102,28 @@
 
 net::HttpCall grantsCall(const std::string &address, const Grant &grant)
 {
-    return order(address,
-                 "/grants",
-                 {{"service", grant.service},
-                  {"slices", rangesOf(grant)},
-                  {"epoch", grant.epoch},
-                  {"expires_ms", grant.expires.count()}});
+    return orderCall(address,
+                     "/grants",
+                     {{"service", grant.service},
+                      {"slices", rangesOf(grant)},
+                      {"epoch", grant.epoch},
+                      {"expires_ms", grant.expires.count()}});
 }
 
 net::HttpCall revokeCall(const std::string &address, const Grant &grant)
 {
-    return order(address, "/revoke", {{"service", grant.service}, {"slices", rangesOf(grant)}, {"epoch", grant.epoch}});
+    return orderCall(
+        address, "/revoke", {{"service", grant.service}, {"slices", rangesOf(grant)}, {"epoch", grant.epoch}});
 }
 
 net::HttpCall drainCall(const std::string &address)
 {
-    return order(address, "/drain", json::object());
+    return orderCall(address, "/drain", json::object());
 }
 
 net::HttpCall cancelCall(const std::string &address, const std::string &requestId)
 {
-    return order(address, "/cancel", {{"request", requestId}});
+    return orderCall(address, "/cancel", {{"request", requestId}});
 }
 
 net::HttpCall healthCall(const std::string &address, std::chrono::milliseconds timeout)
--- a/src/process/UpstreamProtocol.h
+++ b/src/process/UpstreamProtocol.h
@@ -14,11 +14,11 @@
 namespace bergamotweir::process {
 
 /**
- * The one adapter to the upstream's protocol: everything that knows its paths, JSON and header fields is here, so that
- * another protocol replaces this file alone.
+ * The adapter to the upstream's protocol. Only this file knows the protocol's paths, JSON and header fields, so that
+ * supporting another protocol means replacing this file alone.
  */
 
-/** A range of the key hash space, end excluded; an end of 0 is the end of the space. */
+/** A range of the key hash space, end excluded; an end of 0 means the end of the space. */
 struct GrantedRange {
     std::uint64_t begin = 0;
     std::uint64_t end = 0;
@@ -26,16 +26,16 @@
     bool operator==(const GrantedRange &other) const = default;
 };
 
-/** What the upstream is ordered to serve. */
+/** The ranges that an upstream is ordered to serve. */
 struct Grant {
     std::string service;
     std::vector<GrantedRange> ranges;
     std::uint64_t epoch = 0;
-    /** How long from now. */
+    /** Time from now until the grant expires. */
     std::chrono::milliseconds expires{0};
 };
 
-/** @return what the body of POST /announce says, or all that is wrong with it */
+/** @return the announcement in the body of POST /announce, or all findings about it */
 Result<Announcement> parseAnnouncement(std::string_view body);
 
 net::HttpCall grantsCall(const std::string &address, const Grant &grant);
@@ -44,17 +44,17 @@
 net::HttpCall cancelCall(const std::string &address, const std::string &requestId);
 net::HttpCall healthCall(const std::string &address, std::chrono::milliseconds timeout);
 
-/** Adds the header fields of a request on its way to an upstream. */
+/** Adds the header fields that accompany a request to an upstream. */
 void addRequestMetadata(net::HttpCall &call, const RequestMetadata &metadata);
 
 /**
  * Reads how a request ended at an upstream.
- * An answer of 503 with Request-Ran: no is a shed one; another refusal with Request-Ran: no is an upstream that checks
- * its grants and found the request outside of them.
+ * An answer of 503 with Request-Ran: no means that the upstream shed the request. Any other refusal with
+ * Request-Ran: no comes from an upstream that checks its grants and found the request outside of them.
  */
 AttemptResult readAttemptResult(const net::CallResult &result);
 
-/** @return how a request ended that got no whole answer; the same in every protocol */
+/** @return how a request without a complete answer ended; the same in every protocol */
 AttemptResult readUnanswered(const net::CallResult &result);
 
 } // namespace bergamotweir::process
--- a/tests/FakeAgent.cpp
+++ b/tests/FakeAgent.cpp
@@ -98,8 +98,8 @@
 std::vector<wire::AgentMessage> FakeAgent::step(BootTime now)
 {
     std::vector<wire::AgentMessage> messages;
-    if (this->lease.session != 0 && now >= this->nextRenew) {
-        this->nextRenew = now + RenewInterval;
+    if (this->lease.session != 0 && now >= this->nextRenewalAt) {
+        this->nextRenewalAt = now + RenewInterval;
         wire::AgentMessage renew;
         renew.mutable_renew()->set_sequence(agent::recordRenewal(this->lease, this->clock(now)));
         *renew.mutable_renew()->mutable_in_force() = this->map.version;
--- a/tests/FakeAgent.h
+++ b/tests/FakeAgent.h
@@ -9,7 +9,7 @@
 
 namespace bergamotweir::test {
 
-/** An agent's own code for leases and ownership, in a fake process beside a fake upstream. */
+/** A simulated agent process with a simulated upstream; leases and ownership run the agent's real code. */
 struct FakeAgent {
     static constexpr const char *Service = "catalogue";
     static constexpr std::chrono::milliseconds RenewInterval{100};
@@ -21,7 +21,7 @@
     bool reachable = true;
     BootTime frozenUntil;
     BootTime startedAt;
-    /** The agent's clock runs at this rate of the leader's. */
+    /** Rate of the agent's clock relative to the leader's. */
     double clockRate = 1;
     wire::UpstreamInfo upstream;
     bool upstreamUp = true;
@@ -33,23 +33,23 @@
     bool opened = false;
     std::size_t leader = 0;
     BootTime lastHeard;
-    BootTime nextRenew;
+    BootTime nextRenewalAt;
     BootTime nextConnect;
 
-    /** Names the agent and its upstream. */
+    /** Sets the names and fixed properties of the agent and its upstream. */
     void setUp(std::size_t number, bool checksGrants);
-    /** A new process, which remembers nothing. */
+    /** Starts a new process without any earlier state. */
     void start(BootTime now);
     /** Begins a session. @return its first message */
     wire::AgentMessage connect(std::uint64_t newSession, std::size_t newLeader, BootTime now);
     void disconnect();
-    /** @return what it answers at once */
+    /** Handles a message of control. @return the messages that it sends in reply */
     std::vector<wire::AgentMessage> receive(const wire::ControlMessage &message, BootTime now);
-    /** @return what it says of its own accord at this time */
+    /** @return the messages that it sends at this time without being asked: renewals and releases */
     std::vector<wire::AgentMessage> step(BootTime now);
     wire::AgentMessage announcement() const;
 
-    /** @return whether its lease and its slices let it serve a key now */
+    /** @return whether its lease and its slices allow it to serve a key now */
     bool owns(std::uint64_t hash, BootTime now) const;
     bool isFrozen(BootTime now) const;
 
--- a/tests/OperatorProcessTest.cpp
+++ b/tests/OperatorProcessTest.cpp
@@ -19,7 +19,7 @@
     return plan;
 }
 
-/** @return a member of an answer; null when it isn't there, where operator[] would end the whole test process */
+/** @return a member of an answer, or null if it is missing, where operator[] would abort the test process */
 nlohmann::json member(const nlohmann::json &answer, const std::string &name)
 {
     return answer.is_object() ? answer.value(name, nlohmann::json()) : nlohmann::json();
@@ -35,10 +35,11 @@
 
 } // namespace
 
-TEST_CASE("process fault: a change sent again after its leader died is made once, and undoes nothing", "[process]")
+TEST_CASE("process fault: a change sent again after its leader was killed is made once, and undoes no later change",
+          "[process]")
 {
-    // The operator's answer is lost with the leader. A colleague puts a newer table through the next leader; then the
-    // operator sends the first change again. It must neither be made a second time nor bring the older table back.
+    // The answer to an operator is lost with the leader. A newer table is put through the next leader, then the first
+    // change is sent again. It must neither be made a second time nor restore the older table.
     Deployment deployment(smallPlan("resend"));
     const std::string first = deployment.writeFile("first.csv", "service,keyed,weight\nfees,no,2\n");
     const std::string second = deployment.writeFile("second.csv", "service,keyed,weight\nfees,no,3\n");
@@ -61,10 +62,10 @@
     CHECK(member(now, "csv") == "service,keyed,weight\nfees,no,3\n");
 }
 
-TEST_CASE("process fault: table put names an agent that is frozen, and it has the change after its return", "[process]")
+TEST_CASE("process fault: table put names a frozen agent, which has the change in force after it resumes", "[process]")
 {
-    // An agent's VM stands still while a table is put. The operator waits; the change is committed, but must not be
-    // reported as in force everywhere. When the VM goes on, the agent takes the change without being told again.
+    // An agent's VM is frozen while a table is put. The change is committed, but must not be reported as in force
+    // everywhere. When the VM resumes, the agent must apply the change without further action.
     Deployment deployment(smallPlan("frozen-wait"));
     const std::string next = deployment.writeFile("next.csv", "service,keyed,weight\nfees,no,2\n");
     std::vector<std::string> put{
--- a/tests/ProcessFaultTest.cpp
+++ b/tests/ProcessFaultTest.cpp
@@ -14,10 +14,10 @@
 
 using Clock = std::chrono::steady_clock;
 
-constexpr std::chrono::milliseconds LongestLoss{1000};
-constexpr std::chrono::milliseconds LongestUpstreamLoss{300};
-// The machine that runs the tests may be busy: a test fails only above this many times the aim, and prints what it saw.
-constexpr int Slack = 3;
+constexpr std::chrono::milliseconds MaxUnservedTime{1000};
+constexpr std::chrono::milliseconds MaxUnservedTimeOnUpstreamLoss{300};
+// The machine that runs the tests may be busy: a test fails only above this many times the target, and prints the time.
+constexpr int SlackFactor = 3;
 
 Plan enrolments(const std::string &name, std::vector<std::string> upstreamFlags = {"--checks-grants"})
 {
@@ -47,14 +47,14 @@
     }
 }
 
-/** @return an agent that is not beside the named upstream */
-UpstreamVm &otherThan(Deployment &deployment, const std::string &name)
+/** @return a VM other than that of the named upstream */
+UpstreamVm &vmOtherThan(Deployment &deployment, const std::string &name)
 {
     return deployment.vms[0].name == name ? deployment.vms[1] : deployment.vms[0];
 }
 
-/** @return how long the key stayed unserved through this agent */
-std::chrono::milliseconds unservedFor(const UpstreamVm &through, Clock::time_point since)
+/** @return the time from @p since until the key is served through this agent */
+std::chrono::milliseconds unservedTime(const UpstreamVm &through, Clock::time_point since)
 {
     REQUIRE(Deployment::eventually(10s, [&] {
         return isServed(through);
@@ -62,10 +62,10 @@
     return std::chrono::duration_cast<std::chrono::milliseconds>(Clock::now() - since);
 }
 
-void requireWithin(const std::string &what, std::chrono::milliseconds seen, std::chrono::milliseconds aim)
+void requireWithin(const std::string &what, std::chrono::milliseconds seen, std::chrono::milliseconds target)
 {
-    WARN(what << ": unserved for " << seen.count() << " ms, aim " << aim.count() << " ms");
-    REQUIRE(seen < aim * Slack);
+    WARN(what << ": unserved for " << seen.count() << " ms, target " << target.count() << " ms");
+    REQUIRE(seen < target * SlackFactor);
 }
 
 std::string oneRow(unsigned limit)
@@ -76,7 +76,7 @@
 
 } // namespace
 
-// A learner's enrolment key has no server: the VM that owned it is gone.
+// A key has no server because its owner's VM was lost.
 // Order: the owner's agent and upstream are killed; its lease ends; another upstream must own the key.
 // Cause of a longer gap: waiting for more than the lease, or a route that is not renewed.
 TEST_CASE("process fault: a key is served again after its owner's VM is killed", "[process]")
@@ -87,27 +87,27 @@
     UpstreamVm &lost = deployment.vm(owner);
     Deployment::kill(lost.agent);
     Deployment::kill(lost.upstream);
-    const auto seen = unservedFor(otherThan(deployment, owner), Clock::now());
-    requireWithin("owner's VM killed", seen, LongestLoss);
+    const auto seen = unservedTime(vmOtherThan(deployment, owner), Clock::now());
+    requireWithin("owner's VM killed", seen, MaxUnservedTime);
     REQUIRE(deployment.owner("enrolments", Key) != owner);
 }
 
-// Only the upstream's process died; its agent lives and knows.
+// Only the upstream's process is killed; its agent keeps running and notices.
 // Order: the upstream is killed; the agent reports it; the key moves without waiting for the lease.
-// Cause of a longer gap: the loss is noticed by a missing announcement only.
+// Cause of a longer gap: the loss is detected only by a missing announcement.
 TEST_CASE("process fault: a key is served again after its owner's upstream process is killed", "[process]")
 {
     Deployment deployment(enrolments("kill-upstream"));
     waitUntilServed(deployment);
     const std::string owner = deployment.owner("enrolments", Key);
     Deployment::kill(deployment.vm(owner).upstream);
-    const auto seen = unservedFor(otherThan(deployment, owner), Clock::now());
-    requireWithin("owner's upstream killed", seen, LongestUpstreamLoss);
+    const auto seen = unservedTime(vmOtherThan(deployment, owner), Clock::now());
+    requireWithin("owner's upstream killed", seen, MaxUnservedTimeOnUpstreamLoss);
 }
 
-// Callers see refusals although every upstream is well: the leader of the control group is gone.
+// Callers see refusals although every upstream is healthy, because the leader of the control group was killed.
 // Order: the leader is killed; agents hold leases for a while; a new leader renews them before they end.
-// Cause of a gap: the election and the agents' search take longer than the lease.
+// Cause of a gap: the election and the agents' search for the new leader take longer than the lease.
 TEST_CASE("process fault: keys stay served, and the table can be changed, after the control leader is killed",
           "[process]")
 {
@@ -125,24 +125,24 @@
         }
         longest = std::max(longest, std::chrono::duration_cast<std::chrono::milliseconds>(Clock::now() - lastServed));
     }
-    requireWithin("control leader killed", longest, LongestLoss);
+    requireWithin("control leader killed", longest, MaxUnservedTime);
     const std::string file = deployment.writeFile("next.csv", oneRow(11));
     REQUIRE(deployment.run({"table", "put", file, "--base", "current", "--wait", "5"}).exitCode == 0);
 }
 
 // A payment is executed by an upstream that lost the key while its VM was frozen.
-// Order: owner's agent is frozen past its lease with requests before it; the key moves; the agent returns.
-// Cause: a frozen agent that trusts a lease it read before the freeze.
+// Order: the owner's agent is frozen past its lease with requests waiting; the key moves; the agent resumes.
+// Cause: an agent that relies on a lease that it read before the freeze.
 TEST_CASE("process fault: an agent frozen past its lease serves nothing it no longer owns", "[process]")
 {
     Deployment deployment(enrolments("freeze-agent"));
     waitUntilServed(deployment);
     const std::string owner = deployment.owner("enrolments", Key);
     UpstreamVm &frozen = deployment.vm(owner);
-    const UpstreamVm &other = otherThan(deployment, owner);
+    const UpstreamVm &other = vmOtherThan(deployment, owner);
     Deployment::signal(frozen.agent, SIGSTOP);
-    const auto seen = unservedFor(other, Clock::now());
-    requireWithin("owner's agent frozen", seen, LongestLoss);
+    const auto seen = unservedTime(other, Clock::now());
+    requireWithin("owner's agent frozen", seen, MaxUnservedTime);
     const std::string next = deployment.owner("enrolments", Key);
     REQUIRE(next != owner);
     Deployment::signal(frozen.agent, SIGCONT);
@@ -157,10 +157,10 @@
     }
 }
 
-// An operator's change is confirmed by a control VM that no longer speaks for the group, and later reverts.
-// Order: the leader freezes; another leads and commits a change; the old leader returns and is asked.
-// Cause: a leader that answers from its own memory without asking a quorum.
-TEST_CASE("process fault: a frozen control leader that returns hands out no older table", "[process]")
+// An operator's change is confirmed by a control VM that is no longer the leader, and is lost later.
+// Order: the leader is frozen; a new leader commits a change; the old leader resumes and receives reads.
+// Cause: a leader that answers from its own state without confirming its leadership with a quorum.
+TEST_CASE("process fault: a control leader that resumes after a freeze returns no older table", "[process]")
 {
     Deployment deployment(enrolments("freeze-leader"));
     waitUntilServed(deployment);
@@ -181,13 +181,15 @@
         REQUIRE(get.exitCode == 0);
         REQUIRE(get.output.find(",7,") != std::string::npos);
     }
-    // A lost answer: the same change sent again gets the first answer.
+    // The same change sent again, as after a lost answer, gets the first answer.
     REQUIRE(deployment.run({"table", "put", file, "--base", "1", "--change-id", "after-freeze"}).exitCode == 0);
 }
 
-// Two operators edit the same version; the second one must not win silently.
-// Order: both send base version 1 with different content. Cause: last writer wins.
-TEST_CASE("process fault: of two operators with the same base one wins and the other is told the rows", "[process]")
+// Two operators edit the same version; the second must not overwrite the first one's change unnoticed.
+// Order: both send base version 1 with different content. Cause: the last write wins.
+TEST_CASE(
+    "process fault: of two changes with the same base one is made and the other is refused with the conflicting rows",
+    "[process]")
 {
     Deployment deployment(enrolments("race"));
     const std::string first = deployment.writeFile("first.csv", oneRow(8));
@@ -202,9 +204,9 @@
     REQUIRE(lost.output.find("limit") != std::string::npos);
 }
 
-// A sweep acknowledged before the whole control group restarted is run a second time when it is sent again.
-// Order: POST with an Idempotency-Key is answered; all three control processes are killed and start again; resend.
-// Cause: claims kept in memory, or a log that is not synced before it is acted on.
+// A request acknowledged before a restart of the whole control group runs a second time when it is sent again.
+// Order: POST with an Idempotency-Key is answered; all three control processes are killed and started; resend.
+// Cause: claims kept in memory, or a log entry that takes effect before it is synced.
 TEST_CASE("process fault: claims and the table survive a restart of the whole control group", "[process]")
 {
     Deployment deployment(enrolments("restart-all"));
@@ -237,9 +239,9 @@
     REQUIRE(Deployment::ask(deployment.vms[0], other).status == 409);
 }
 
-// A control VM comes back with an empty disk under its old name and votes a second time in a term it voted in.
-// Order: a follower's data folder is lost, it starts again; a change is made; a second VM is lost.
-// Cause: identity by name only.
+// A control VM restarts with an empty disk under its old name and votes twice in one term.
+// Order: a follower's data folder is lost and it restarts; the group replaces it; a second VM is lost; a change is
+// made. Cause: a replica that is identified by its name only.
 TEST_CASE("process fault: a replica that lost its disk is replaced, and a second VM can be lost right after",
           "[process]")
 {
@@ -277,9 +279,9 @@
     REQUIRE(deployment.run({"table", "get"}).output.find(",6,") != std::string::npos);
 }
 
-// A control VM loses power in the middle of a write; the replica must come back with what it acknowledged.
-// Order: a follower is killed, the end of its newest log file is torn off, it starts again.
-TEST_CASE("process fault: a torn log tail is cut and made up for", "[process]")
+// A control VM loses power in the middle of a write; the replica must restart with all that it acknowledged.
+// Order: a follower is killed, the end of its newest log file is truncated, and it restarts.
+TEST_CASE("process fault: a torn end of the log is truncated and replicated again", "[process]")
 {
     Deployment deployment(enrolments("torn-tail"));
     const int leader = deployment.leader();
@@ -307,15 +309,16 @@
     }));
 }
 
-// A class is out of reach while its failure domain is pulled for maintenance, or keeps getting work after it was.
-// Order: mark out, traffic goes on; mark in. Cause: unfinished moves or stale routes.
-TEST_CASE("process fault: a failure domain marked out gets no new work after two seconds, and comes back", "[process]")
+// Keys are unavailable while their failure domain is marked out, or its upstreams still get requests afterwards.
+// Order: mark out while requests continue; mark in. Cause: unfinished moves or stale routes.
+TEST_CASE("process fault: a failure domain marked out gets no requests after 2 s, and gets them again after mark in",
+          "[process]")
 {
     Deployment deployment(enrolments("mark-out"));
     waitUntilServed(deployment);
     REQUIRE(deployment.run({"mark", "out", "failure-domain", "gc-a"}).exitCode == 0);
     const auto marked = Clock::now();
-    const auto gcWork = [&] {
+    const auto executionsInGcA = [&] {
         unsigned count = 0;
         for (const UpstreamVm &vm : deployment.vms) {
             if (vm.failureDomain == "gc-a") {
@@ -329,12 +332,12 @@
     };
     unsigned refused = 0;
     std::string refusals;
-    unsigned workAfterTwoSeconds = 0;
-    bool counting = false;
+    unsigned executionsAfterTwoSeconds = 0;
+    bool isCounting = false;
     for (unsigned number = 0; Clock::now() - marked < 4s; ++number) {
-        if (!counting && Clock::now() - marked > 2s) {
-            counting = true;
-            workAfterTwoSeconds = gcWork();
+        if (!isCounting && Clock::now() - marked > 2s) {
+            isCounting = true;
+            executionsAfterTwoSeconds = executionsInGcA();
         }
         const std::string key = "Routing-Key: class-" + std::to_string(number % 200);
         const UpstreamVm &vm = deployment.vms[number % deployment.vms.size()];
@@ -346,20 +349,20 @@
     }
     INFO(refusals);
     REQUIRE(refused == 0);
-    REQUIRE(gcWork() == workAfterTwoSeconds);
+    REQUIRE(executionsInGcA() == executionsAfterTwoSeconds);
     REQUIRE(deployment.run({"mark", "in", "failure-domain", "gc-a"}).exitCode == 0);
     REQUIRE(Deployment::eventually(10s, [&] {
         for (unsigned number = 0; number < 50; ++number) {
             const std::string key = "Routing-Key: class-" + std::to_string(number);
             REQUIRE(Deployment::ask(deployment.vms[0], {.path = "/s/enrolments/x", .headers = {key}}).status == 200);
         }
-        return gcWork() > workAfterTwoSeconds;
+        return executionsInGcA() > executionsAfterTwoSeconds;
     }));
 }
 
-// A planned restart cuts off a caller's request.
-// Order: requests flow through every agent; each agent in turn gets SIGTERM and starts again.
-// Cause: an agent that leaves before its work is done, or before its keys have moved.
+// A planned restart aborts a caller's request.
+// Order: requests run through every agent; each agent in turn gets SIGTERM and restarts.
+// Cause: an agent that exits before its requests have ended or its keys have moved.
 TEST_CASE("process fault: agents and the control leader stop gracefully one after the other", "[process]")
 {
     Deployment deployment(enrolments("rolling"));
@@ -368,7 +371,7 @@
         Deployment::signal(vm.agent, SIGTERM);
         for (unsigned number = 0; number < 40; ++number) {
             const std::string key = "Routing-Key: class-" + std::to_string(number);
-            const UpstreamVm &through = otherThan(deployment, vm.name);
+            const UpstreamVm &through = vmOtherThan(deployment, vm.name);
             const Reply reply = Deployment::ask(through, {.path = "/s/enrolments/x", .headers = {key}});
             INFO(vm.name << " stops, " << key << ", " << reply.status << " " << reply.body);
             REQUIRE(reply.status == 200);
@@ -390,16 +393,16 @@
 }
 
 // One request crashes every upstream that runs it, and its caller sends it again.
-// Order: the request is sent until the answer is 422; the crashed upstreams start again; other requests go on.
+// Order: the request is sent until the answer is 422; the crashed upstreams restart; other requests are still served.
 TEST_CASE("process fault: a request that crashes upstreams is quarantined after two crashes", "[process]")
 {
     Deployment deployment(enrolments("quarantine"));
     waitUntilServed(deployment);
-    const Ask deadly{.path = "/s/enrolments/deadly", .headers = {KeyHeader, "Test-Crash: yes"}};
+    const Ask crashingRequest{.path = "/s/enrolments/deadly", .headers = {KeyHeader, "Test-Crash: yes"}};
     unsigned crashes = 0;
     int last = 0;
     for (unsigned attempt = 0; attempt < 8 && last != 422; ++attempt) {
-        last = Deployment::ask(deployment.vms[attempt % 4], deadly).status;
+        last = Deployment::ask(deployment.vms[attempt % 4], crashingRequest).status;
         for (UpstreamVm &vm : deployment.vms) {
             if (Deployment::hasEnded(vm.upstream)) {
                 ++crashes;
@@ -413,21 +416,21 @@
     REQUIRE(last == 422);
     REQUIRE(crashes == 2);
     for (const UpstreamVm &vm : deployment.vms) {
-        REQUIRE(Deployment::ask(vm, deadly).status == 422);
+        REQUIRE(Deployment::ask(vm, crashingRequest).status == 422);
         REQUIRE(isServed(vm, 1000ms));
     }
 }
 
-// A class opens for enrolment and its key alone fills an upstream, together with every key of the same slice.
-// Order: a third of all requests go to one key; its agent tells control; the key gets a slice of its own and keeps
-// being served meanwhile. Cause of a miss: loads that agents count but never tell.
-TEST_CASE("process fault: a key that turned hot gets a slice of its own without a refusal", "[process]")
+// One hot key overloads an upstream and affects every other key of the same slice.
+// Order: a third of all requests go to one key; its agent reports the load; control gives the key a slice of its own,
+// and the key is served meanwhile. Cause of a failure: loads that agents count but do not report.
+TEST_CASE("process fault: a hot key gets a slice of its own without a refused request", "[process]")
 {
     Deployment deployment(enrolments("hot-key"));
     waitUntilServed(deployment);
     const auto slice = [&] {
-        const CommandResult told = deployment.run({"owner", "enrolments", Key, "--json"});
-        return nlohmann::json::parse(told.output, nullptr, false);
+        const CommandResult result = deployment.run({"owner", "enrolments", Key, "--json"});
+        return nlohmann::json::parse(result.output, nullptr, false);
     };
     const nlohmann::json before = slice();
     REQUIRE(before.is_object());
--- a/tests/ReplicaGroup.h
+++ b/tests/ReplicaGroup.h
@@ -17,7 +17,7 @@
 
 namespace bergamotweir::tests {
 
-/** A folder of its own below the system's temporary folder, removed at the end. */
+/** A new folder below the system's temporary folder, removed on destruction. */
 class TemporaryFolder
 {
 public:
@@ -40,7 +40,7 @@
     std::filesystem::path path;
 };
 
-/** @return a loopback port that the kernel chose and that is free now */
+/** @return a loopback port chosen by the kernel and free at present */
 inline std::uint16_t freePort()
 {
     const int descriptor = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
@@ -152,17 +152,17 @@
         });
     }
 
-    /** Sends a command to whoever leads, again and again until it is applied. */
+    /** Proposes a command to the current leader, repeatedly until it is applied. */
     void commit(const std::string &command)
     {
         bool applied = false;
-        bool asked = false;
+        bool isProposed = false;
         this->runUntil([&] {
-            if (!asked && !this->leader.empty()) {
-                asked = true;
+            if (!isProposed && !this->leader.empty()) {
+                isProposed = true;
                 this->nodes.at(this->leader)->propose(command, [&](const process::ProposeResult &result) {
                     applied = result.kind == process::ProposeOutcome::Applied;
-                    asked = applied;
+                    isProposed = applied;
                 });
             }
             return applied;
@@ -176,9 +176,9 @@
     std::map<std::string, std::vector<std::string>> states;
     std::map<std::string, std::unique_ptr<process::ReplicaNode>> nodes;
     std::string leader;
-    /** File calls of each replica, to be replaced before its start. */
+    /** File calls of each replica; tests replace them before its start. */
     std::map<std::string, disk::FileOperations> files;
-    /** Replicas that act no more, and why. */
+    /** Replicas that have stopped, and why. */
     std::map<std::string, Findings> stopped;
 };
 
--- a/tests/ReplicaNodeTest.cpp
+++ b/tests/ReplicaNodeTest.cpp
@@ -25,7 +25,7 @@
     REQUIRE(group.nodes.at(lost)->leaderControlAddress() == "control of " + group.leader);
 }
 
-// A replica was away for hundreds of changes: it catches up by one snapshot, also when that travels in many pieces.
+// A replica that was down for hundreds of changes must catch up by one snapshot, even when it is sent in many chunks.
 TEST_CASE("a replica that missed 500 changes catches up by a snapshot", "[replica]")
 {
     ReplicaGroup group({"a", "b", "c"});
@@ -34,8 +34,8 @@
         group.start(id);
     }
     group.commit("first");
-    const std::string away = group.leader == "a" ? "b" : "a";
-    group.stop(away);
+    const std::string stopped = group.leader == "a" ? "b" : "a";
+    group.stop(stopped);
     int applied = 0;
     for (int number = 0; number < 500; ++number) {
         group.nodes.at(group.leader)
@@ -46,14 +46,14 @@
     group.runUntil([&] {
         return applied == 500;
     });
-    group.start(away);
+    group.start(stopped);
     group.runUntil([&] {
-        return group.states[away].size() == 501;
+        return group.states[stopped].size() == 501;
     });
-    REQUIRE(group.states[away] == group.states[group.leader]);
+    REQUIRE(group.states[stopped] == group.states[group.leader]);
 }
 
-// A VM with its disk is lost and replaced, then a second one is lost.
+// A VM is lost with its disk and replaced, then a second VM is lost.
 TEST_CASE("a replica is replaced over real sockets and files", "[replica]")
 {
     ReplicaGroup group({"a", "b", "c", "d"});
@@ -76,13 +76,13 @@
         }
         request.set_change(change);
         bool done = false;
-        bool asked = false;
+        bool isInFlight = false;
         group.runUntil([&] {
-            if (!asked && !done && !group.leader.empty()) {
-                asked = true;
+            if (!isInFlight && !done && !group.leader.empty()) {
+                isInFlight = true;
                 group.nodes.at(group.leader)->changeMembership(request, [&](const process::ProposeResult &result) {
                     done = result.kind == process::ProposeOutcome::Applied;
-                    asked = false;
+                    isInFlight = false;
                 });
             }
             return done;
@@ -97,7 +97,7 @@
     REQUIRE(group.nodes.at("d")->membership().replicas_size() == 3);
 }
 
-// The leader's disk fails: it says so, acknowledges nothing more, and the others go on.
+// The leader's disk fails: it must report that and acknowledge nothing more, and the other replicas must continue.
 TEST_CASE("a leader whose sync fails steps down and acknowledges nothing", "[replica]")
 {
     ReplicaGroup group({"a", "b", "c"});
@@ -121,14 +121,14 @@
     });
     REQUIRE(group.stopped[first].front().message.find("Input/output error") != std::string::npos);
     group.commit("three");
-    // Followers may have committed it before the leader's own sync failed; then the answer was true.
-    const bool kept = group.states[group.leader][1] == "two";
-    REQUIRE((outcome == process::ProposeOutcome::Unknown || kept));
+    // Followers may have committed it before the leader's own sync failed; then the acknowledgement was correct.
+    const bool isCommitted = group.states[group.leader][1] == "two";
+    REQUIRE((outcome == process::ProposeOutcome::Unknown || isCommitted));
 }
 
-// The whole control group is restarted at once: what was acknowledged is there again, and a replica that doesn't lead
-// says so instead of refusing.
-TEST_CASE("a group that was stopped as a whole goes on with all it had acknowledged", "[replica]")
+// The whole control group is restarted at once: all acknowledged commands must still be there, and a replica that is
+// not the leader must answer NotLeader.
+TEST_CASE("a group that was stopped as a whole restarts with all that it had acknowledged", "[replica]")
 {
     ReplicaGroup group({"a", "b", "c"});
     for (const char *id : {"a", "b", "c"}) {
--- a/tests/RequestTextTest.cpp
+++ b/tests/RequestTextTest.cpp
@@ -57,8 +57,8 @@
     REQUIRE(parsed.facts.hash == hashKey("class-7"));
     REQUIRE(parsed.facts.deadline == Now + 800ms);
     request.headers.push_back({"request-timeout", "50"});
-    const auto hurried = std::get<ParsedRequest>(parseRequest(request, enrolmentTable(), Origin::Caller, Now));
-    REQUIRE(hurried.facts.deadline == Now + 50ms);
+    const auto withTimeout = std::get<ParsedRequest>(parseRequest(request, enrolmentTable(), Origin::Caller, Now));
+    REQUIRE(withTimeout.facts.deadline == Now + 50ms);
     request.method = "PUT";
     REQUIRE_FALSE(std::get<ParsedRequest>(parseRequest(request, enrolmentTable(), Origin::Caller, Now)).facts.claimed);
 }
@@ -80,9 +80,8 @@
     }
 }
 
-// A caller makes an agent skip its claim, or names the upstream that it wants, by sending the fields that agents use
-// among themselves.
-TEST_CASE("header fields of the system are neither taken from callers nor passed to them")
+// A caller that sends the header fields used between agents could make an agent skip the claim, or choose its upstream.
+TEST_CASE("header fields of the system are neither accepted from callers nor passed to them")
 {
     net::HttpRequest request = keyedPost();
     request.headers.push_back({"bergamotweir-upstream", "9"});
@@ -98,7 +97,7 @@
     REQUIRE(passed.headers == std::vector<net::Header>{{"Content-Type", "text/plain"}});
 }
 
-// All callers refused in one second come back in the same later second.
+// Without the spread, all callers refused within one second retry within one later second.
 TEST_CASE("Retry-After is spread")
 {
     pcg32 random(7);
@@ -113,7 +112,7 @@
     REQUIRE(times.at("1") > 50);
 }
 
-TEST_CASE("an announcement is read whole, and all that is wrong with one is told")
+TEST_CASE("an announcement is read completely, and all findings about an invalid one are reported")
 {
     const auto good =
         parseAnnouncement(R"({"service":"catalogue","name":"w1","port":8080,"incarnation":"i","slots":12,)"
@@ -128,7 +127,7 @@
     REQUIRE_FALSE(parseAnnouncement("{"));
 }
 
-// Two upstreams serve a range: its end was rounded by a JSON reader that holds 53 bits.
+// A JSON parser with 53-bit numbers rounds the end of a range; two upstreams would then serve the same keys.
 TEST_CASE("grants carry hashes as text")
 {
     const net::HttpCall call =
@@ -138,8 +137,9 @@
     REQUIRE(body["expires_ms"] == 250);
 }
 
-// A payment is told "it did not run" though it did, or is sent again: how a call ended was read too hopefully.
-TEST_CASE("how a request ended at an upstream is read without hope")
+// A payment that ran is reported as "did not run", or is sent again, if the outcome of a call without a complete answer
+// is read too optimistically.
+TEST_CASE("a request counts as possibly run at an upstream unless that is ruled out")
 {
     REQUIRE(readAttemptResult(answerWith(503, {{"Request-Ran", "no"}})).outcome == agent::AttemptOutcome::Overloaded);
     REQUIRE(readAttemptResult(answerWith(409, {{"Request-Ran", "no"}})).outcome == agent::AttemptOutcome::NotOwner);
--- a/tests/WholePathTest.cpp
+++ b/tests/WholePathTest.cpp
@@ -24,7 +24,7 @@
     return plan;
 }
 
-/** @return the ports that a process was told to listen on, found by its flags */
+/** @return the ports in the process's flags that it listens on */
 std::vector<std::uint16_t> portsOf(const Process &process)
 {
     std::vector<std::uint16_t> ports;
@@ -36,7 +36,7 @@
     return ports;
 }
 
-/** Sends bytes to a port and leaves; a peer that closes early is no failure. */
+/** Sends bytes to a port and disconnects; a peer that closes early is not a failure. */
 void sendBytes(std::uint16_t port, const std::string &bytes)
 {
     const int descriptor = socket(AF_INET, SOCK_STREAM, 0);
@@ -67,7 +67,7 @@
 
 } // namespace
 
-TEST_CASE("a request to any agent reaches the sole owner of its key, and its whole answer comes back", "[process]")
+TEST_CASE("a request to any agent reaches the only owner of its key, and its complete answer is returned", "[process]")
 {
     const Deployment deployment(smallPlan("whole-path"));
     REQUIRE(Deployment::eventually(5s, [&] {
@@ -88,7 +88,7 @@
     }
 }
 
-TEST_CASE("bad requests are answered by the agent itself, and say that they did not run", "[process]")
+TEST_CASE("bad requests are answered by the agent itself, and the answers say that they did not run", "[process]")
 {
     const Deployment deployment(smallPlan("bad-requests"));
     const UpstreamVm &vm = deployment.vms.front();
@@ -99,18 +99,19 @@
     const Reply keyless = Deployment::ask(vm, {.path = "/s/enrolments/x"});
     REQUIRE(keyless.status == 400);
     REQUIRE(keyless.headers.at("request-ran") == "no");
-    const Reply timeless = Deployment::ask(vm, {.path = "/s/catalogue/x", .headers = {"Request-Timeout: soon"}});
-    REQUIRE(timeless.status == 400);
-    REQUIRE(timeless.headers.at("request-ran") == "no");
+    const Reply invalidTimeout = Deployment::ask(vm, {.path = "/s/catalogue/x", .headers = {"Request-Timeout: soon"}});
+    REQUIRE(invalidTimeout.status == 400);
+    REQUIRE(invalidTimeout.headers.at("request-ran") == "no");
     const Reply large =
         Deployment::ask(vm, {.path = "/s/catalogue/x", .headers = {"X-Large: " + std::string(100000, 'x')}});
     REQUIRE(large.status == 431);
     REQUIRE(Deployment::ask(vm, {.path = "/s/catalogue/x"}).status == 200);
 }
 
-// A learner is told that there is no such service, and the browser doesn't ask again. Order: control is down, an agent
-// is started; until control is back it knows of no service at all.
-TEST_CASE("an agent that has heard nothing from control yet refuses for now, and says that nothing ran", "[process]")
+// An agent that starts while control is down knows no services; if it answered that there is no such service, callers
+// would not retry.
+TEST_CASE("an agent that has no state from control yet answers 503 with Retry-After, and says that nothing ran",
+          "[process]")
 {
     Deployment deployment(smallPlan("no-state"));
     for (ControlVm &control : deployment.controls) {
@@ -129,9 +130,9 @@
     REQUIRE(reply.headers.contains("retry-after"));
 }
 
-// A port scanner, or a program that speaks another protocol, brings a process down and with it its keys.
-// Order: each port of each process gets noise, half a request, and the preface of HTTP/2 with noise after it.
-TEST_CASE("garbage on any port of any process makes none fall", "[process]")
+// A port scanner, or a client of another protocol, crashes a process and makes its keys unavailable.
+// Input: each port of each process gets random bytes, half a request, and an HTTP/2 preface followed by random bytes.
+TEST_CASE("invalid input on any port of any process crashes none of them", "[process]")
 {
     Deployment deployment(smallPlan("garbage"));
     pcg32 random(20261202);
