--- a/include/process/ReplicaNode.h
+++ b/include/process/ReplicaNode.h
@@ -58,8 +58,7 @@
     std::function<void(bool leader, std::uint64_t term)> leadershipChanged;
     /** Called on the leader when a replica that is not a member asks to join. May be empty. */
     std::function<void(const wire::Replica &)> joinRequested;
-    /** Called when the replica has stopped because its disk failed; the process should log it and exit. May be empty.
-     */
+    /** Called when the replica has stopped (disk failed); the process should log that and exit. May be empty. */
     std::function<void(const Findings &)> stopped;
 };
 
@@ -75,8 +74,7 @@
      * open() calls hooks (restore) before it returns when there is a snapshot.
      * @param loop outlives the replica
      * @param files file calls, replaced by tests
-     * @return the running replica, or why it can't start: folder in use or of another replica, corrupt file, port in
-     * use
+     * @return the running replica, or why it can't start: folder in use or of another replica, corrupt file, port taken
      */
     static Result<std::unique_ptr<ReplicaNode>> open(loop::EventLoop &loop,
                                                      ReplicaSettings settings,
--- a/src/process/ControlProcessOrders.cpp
+++ b/src/process/ControlProcessOrders.cpp
@@ -115,9 +115,9 @@
     }
     const bool isChange = request.has_put_table() || request.has_mark() || request.has_put_routes();
     if (isChange && this->membershipManager && !this->membershipManager->canAcknowledge()) {
-        wire::OperatorReply refusal = this->notLeader();
-        refusal.clear_leader_address();
-        answer(std::move(refusal));
+        wire::OperatorReply notReady = this->notLeader();
+        notReady.clear_leader_address();
+        answer(std::move(notReady));
         return;
     }
     wire::Command command;
--- a/src/process/ReplicaNode.cpp
+++ b/src/process/ReplicaNode.cpp
@@ -253,14 +253,14 @@
 
 void ReplicaNode::Parts::perform(raft::BecameLeader &action)
 {
-    Log.info("became leader in term " + std::to_string(action.term));
+    Log.info("leads in term " + std::to_string(action.term));
     this->leading = true;
     this->hooks.leadershipChanged(true, action.term);
 }
 
 void ReplicaNode::Parts::perform(raft::LostLeadership &action)
 {
-    Log.info("lost leadership in term " + std::to_string(action.term));
+    Log.info("no longer leads, term " + std::to_string(action.term));
     this->leading = false;
     this->abandonProposals();
     this->hooks.leadershipChanged(false, action.term);
--- a/src/process/ReplicaSettings.cpp
+++ b/src/process/ReplicaSettings.cpp
@@ -63,14 +63,14 @@
     if (this->settings.dataFolder.empty()) {
         findings.push_back({"data folder", "is not given", {}});
     }
-    bool listed = false;
+    bool isListed = false;
     for (const wire::Replica &replica : this->settings.initial.replicas()) {
-        listed = listed || replica.id() == this->settings.id;
+        isListed = isListed || replica.id() == this->settings.id;
         if (replica.address().empty()) {
             findings.push_back({"replicas, " + replica.id(), "has no address", "ID=IP:PORT/PORT"});
         }
     }
-    if (!this->settings.join && !listed) {
+    if (!this->settings.join && !isListed) {
         findings.push_back({"replicas", "do not name " + this->settings.id, "it, or join an existing group"});
     }
     if (!findings.empty()) {
--- a/src/process/RequestRunner.cpp
+++ b/src/process/RequestRunner.cpp
@@ -85,8 +85,8 @@
             return;
         }
     }
-    auto request = std::make_unique<Running>();
-    request->number = ++this->lastNumber;
+    auto request = std::make_unique<RunningRequest>();
+    request->number = ++this->lastRequestNumber;
     request->origin = origin;
     request->exchange = exchange;
     request->parsed = std::move(std::get<ParsedRequest>(parsed));
@@ -95,7 +95,7 @@
     }
     request->state.facts = request->parsed.facts;
     request->acceptedAt = now;
-    const Number number = request->number;
+    const RequestNumber number = request->number;
     if (origin == Origin::Caller) {
         request->parsed.originService = this->state.settings.service;
     }
@@ -143,13 +143,13 @@
     return parseRequest(request, this->state.table, origin, now);
 }
 
-void RequestRunner::handle(Number number, const agent::RequestEvent &event)
+void RequestRunner::handle(RequestNumber number, const agent::RequestEvent &event)
 {
     const auto found = this->running.find(number);
     if (found == this->running.end()) {
         return;
     }
-    Running &request = *found->second;
+    RunningRequest &request = *found->second;
     request.events.push_back(event);
     if (request.isHandlingEvents) {
         return;
@@ -165,13 +165,13 @@
         }
     }
     request.isHandlingEvents = false;
-    if (request.state.stage == agent::Stage::Ended && !request.claimPending) {
+    if (request.state.stage == agent::Stage::Ended && !request.isClaimPending) {
         this->finish(request);
         this->running.erase(number);
     }
 }
 
-void RequestRunner::perform(Running &request, const agent::RequestAction &action)
+void RequestRunner::perform(RunningRequest &request, const agent::RequestAction &action)
 {
     switch (action.kind) {
     case ActionKind::Claim:
@@ -213,13 +213,13 @@
     }
 }
 
-void RequestRunner::wait(Running &request, std::chrono::nanoseconds delay)
+void RequestRunner::wait(RunningRequest &request, std::chrono::nanoseconds delay)
 {
     if (this->needs.metrics != nullptr && request.state.facts.keyed
         && request.state.lastOutcome == AttemptOutcome::NotOwner) {
         this->needs.metrics->keyedRequestWithoutOwner();
     }
-    const Number number = request.number;
+    const RequestNumber number = request.number;
     if (this->waitingCount >= MaxWaiting) {
         this->handle(number, {.kind = EventKind::WaitRefused});
         return;
@@ -238,7 +238,7 @@
 
 void RequestRunner::stateChanged()
 {
-    std::vector<Number> woken;
+    std::vector<RequestNumber> woken;
     for (const auto &[number, request] : this->running) {
         if (request->isWaiting
             && (request->state.lastOutcome == AttemptOutcome::NotOwner
@@ -247,12 +247,12 @@
         }
     }
     std::sort(woken.begin(), woken.end());
-    for (const Number number : woken) {
+    for (const RequestNumber number : woken) {
         const auto found = this->running.find(number);
         if (found == this->running.end() || !found->second->isWaiting) {
             continue;
         }
-        Running &request = *found->second;
+        RunningRequest &request = *found->second;
         this->loop.cancel(request.waitTimer);
         request.isWaiting = false;
         this->waitingCount--;
@@ -260,9 +260,9 @@
     }
 }
 
-void RequestRunner::armHedge(Running &request)
+void RequestRunner::armHedge(RunningRequest &request)
 {
-    const Number number = request.number;
+    const RequestNumber number = request.number;
     const auto delay = this->state.services[request.state.facts.service].routing.hedgeDelay;
     this->loop.cancel(request.hedgeTimer);
     request.hedgeTimer = this->loop.after(delay, [this, number] {
@@ -270,7 +270,7 @@
     });
 }
 
-void RequestRunner::enterGate(Running &request, const agent::RequestAction &action)
+void RequestRunner::enterGate(RunningRequest &request, const agent::RequestAction &action)
 {
     LocalUpstream *upstream = this->needs.localUpstream(action.upstream);
     LiveAttempt attempt;
@@ -334,7 +334,7 @@
  * Checks quarantine, ownership and lease as they are now, immediately before a request is sent to an upstream.
  * @return Answered when the request may be dispatched, otherwise how the attempt ends
  */
-AttemptOutcome RequestRunner::checkDispatch(const Running &request, std::uint64_t &epoch) const
+AttemptOutcome RequestRunner::checkDispatch(const RunningRequest &request, std::uint64_t &epoch) const
 {
     const agent::RequestFacts &facts = request.state.facts;
     if (this->state.map.quarantined.contains(request.parsed.fingerprint)) {
@@ -353,7 +353,7 @@
     return refusal == agent::OwnershipRefusal::None ? AttemptOutcome::Answered : AttemptOutcome::NotOwner;
 }
 
-void RequestRunner::dispatch(Running &request, const agent::RequestAction &action)
+void RequestRunner::dispatch(RunningRequest &request, const agent::RequestAction &action)
 {
     LiveAttempt &attempt = request.attempts.at(action.attempt);
     attempt.dispatchedAt = BootClock::now();
@@ -381,7 +381,7 @@
     order.deadline = request.state.facts.deadline;
     order.originService = request.parsed.originService;
     order.workspace = request.parsed.workspace;
-    const Number number = request.number;
+    const RequestNumber number = request.number;
     const unsigned id = action.attempt;
     upstream->dispatch(attempt.ticket, std::move(order), [this, number, id](DispatchResult result) {
         this->attemptEnded(
@@ -389,7 +389,7 @@
     });
 }
 
-void RequestRunner::forward(Running &request, const agent::RequestAction &action)
+void RequestRunner::forward(RunningRequest &request, const agent::RequestAction &action)
 {
     const BootTime now = BootClock::now();
     const wire::UpstreamInfo *upstream = agent::findUpstream(this->state.map, action.upstream);
@@ -398,7 +398,7 @@
     attempt.upstream = action.upstream;
     attempt.begunAt = now;
     agent::recordSent(this->state.services[request.state.facts.service].routing, action.upstream, BootClock::now());
-    const Number number = request.number;
+    const RequestNumber number = request.number;
     const unsigned id = action.attempt;
     if (upstream == nullptr || left.count() <= 0) {
         request.attempts[id] = std::move(attempt);
@@ -430,13 +430,13 @@
 }
 
 void RequestRunner::attemptEnded(
-    Number number, unsigned attempt, AttemptOutcome outcome, bool mayHaveRun, net::HttpAnswer answer)
+    RequestNumber number, unsigned attempt, AttemptOutcome outcome, bool mayHaveRun, net::HttpAnswer answer)
 {
     const auto found = this->running.find(number);
     if (found == this->running.end()) {
         return;
     }
-    Running &request = *found->second;
+    RunningRequest &request = *found->second;
     const auto live = request.attempts.find(attempt);
     if (live == request.attempts.end()) {
         return;
@@ -465,7 +465,7 @@
                  {.kind = EventKind::AttemptEnded, .attempt = attempt, .outcome = outcome, .mayHaveRun = mayHaveRun});
 }
 
-void RequestRunner::finish(Running &request)
+void RequestRunner::finish(RunningRequest &request)
 {
     this->loop.cancel(request.deadlineTimer);
     this->loop.cancel(request.waitTimer);
--- a/src/process/RequestRunner.h
+++ b/src/process/RequestRunner.h
@@ -72,49 +72,49 @@
     std::size_t inProgress() const;
 
 private:
-    struct Running;
+    struct RunningRequest;
     struct LiveAttempt;
-    using Number = std::uint64_t;
+    using RequestNumber = std::uint64_t;
 
     std::variant<ParsedRequest, net::HttpAnswer> read(const net::HttpRequest &request, Origin origin, BootTime now);
-    void handle(Number number, const agent::RequestEvent &event);
-    void perform(Running &request, const agent::RequestAction &action);
-    void claim(Running &request);
-    void route(Running &request);
-    void logUpstreamChoice(const Running &request, std::uint32_t upstream) const;
-    void recordTime(const Running &request, const LiveAttempt &attempt);
-    std::uint32_t routeKeyed(const Running &request) const;
-    std::uint32_t routeUnkeyed(Running &request);
-    std::uint32_t routeForwarded(const Running &request) const;
-    void wait(Running &request, std::chrono::nanoseconds delay);
-    void armHedge(Running &request);
-    void enterGate(Running &request, const agent::RequestAction &action);
-    void dispatch(Running &request, const agent::RequestAction &action);
-    void forward(Running &request, const agent::RequestAction &action);
-    void cancel(Running &request, unsigned attempt);
-    void relay(Running &request, unsigned attempt);
-    void relayRecorded(Running &request);
+    void handle(RequestNumber number, const agent::RequestEvent &event);
+    void perform(RunningRequest &request, const agent::RequestAction &action);
+    void claim(RunningRequest &request);
+    void route(RunningRequest &request);
+    void logUpstreamChoice(const RunningRequest &request, std::uint32_t upstream) const;
+    void recordTime(const RunningRequest &request, const LiveAttempt &attempt);
+    std::uint32_t routeKeyed(const RunningRequest &request) const;
+    std::uint32_t routeUnkeyed(RunningRequest &request);
+    std::uint32_t routeForwarded(const RunningRequest &request) const;
+    void wait(RunningRequest &request, std::chrono::nanoseconds delay);
+    void armHedge(RunningRequest &request);
+    void enterGate(RunningRequest &request, const agent::RequestAction &action);
+    void dispatch(RunningRequest &request, const agent::RequestAction &action);
+    void forward(RunningRequest &request, const agent::RequestAction &action);
+    void cancel(RunningRequest &request, unsigned attempt);
+    void relay(RunningRequest &request, unsigned attempt);
+    void relayRecorded(RunningRequest &request);
     /** @return the refusal if the limit of the caller's workspace admits no request now */
     std::optional<net::HttpAnswer> refuseBeyondLimit(ParsedRequest &parsed);
     /** Stops counting a refused request against its workspace's share of the limit, unless it may have run. */
-    void returnAdmission(const Running &request, const agent::RefusalDetails &refusal);
-    void recordCompletion(const Running &request, std::string_view outcomeLabel, int status);
-    void refuse(Running &request, const agent::RefusalDetails &refusal);
-    void record(Running &request, const agent::RequestAction &action);
+    void returnAdmission(const RunningRequest &request, const agent::RefusalDetails &refusal);
+    void recordCompletion(const RunningRequest &request, std::string_view outcomeLabel, int status);
+    void refuse(RunningRequest &request, const agent::RefusalDetails &refusal);
+    void record(RunningRequest &request, const agent::RequestAction &action);
     void attemptEnded(
-        Number number, unsigned attempt, agent::AttemptOutcome outcome, bool mayHaveRun, net::HttpAnswer answer);
-    void recordRouting(Running &request, const LiveAttempt &attempt, agent::AttemptOutcome outcome);
-    void finish(Running &request);
-    agent::AttemptOutcome checkDispatch(const Running &request, std::uint64_t &epoch) const;
+        RequestNumber number, unsigned attempt, agent::AttemptOutcome outcome, bool mayHaveRun, net::HttpAnswer answer);
+    void recordRouting(RunningRequest &request, const LiveAttempt &attempt, agent::AttemptOutcome outcome);
+    void finish(RunningRequest &request);
+    agent::AttemptOutcome checkDispatch(const RunningRequest &request, std::uint64_t &epoch) const;
 
     loop::EventLoop &loop;
     AgentState &state;
     RequestRunnerNeeds needs;
     net::HttpClient peers;
-    std::unordered_map<Number, std::unique_ptr<Running>> running;
-    std::unordered_map<std::uint64_t, std::pair<Number, unsigned>> tickets;
+    std::unordered_map<RequestNumber, std::unique_ptr<RunningRequest>> running;
+    std::unordered_map<std::uint64_t, std::pair<RequestNumber, unsigned>> tickets;
     std::size_t waitingCount = 0;
-    Number lastNumber = 0;
+    RequestNumber lastRequestNumber = 0;
     std::uint64_t lastTicket = 0;
     std::string idPrefix;
 };
--- a/src/process/RequestRunnerAnswers.cpp
+++ b/src/process/RequestRunnerAnswers.cpp
@@ -29,7 +29,7 @@
 
 } // namespace
 
-void RequestRunner::cancel(Running &request, unsigned attempt)
+void RequestRunner::cancel(RunningRequest &request, unsigned attempt)
 {
     const auto found = request.attempts.find(attempt);
     if (found == request.attempts.end()) {
@@ -50,7 +50,7 @@
     request.attempts.erase(found);
 }
 
-void RequestRunner::recordRouting(Running &request, const LiveAttempt &attempt, AttemptOutcome outcome)
+void RequestRunner::recordRouting(RunningRequest &request, const LiveAttempt &attempt, AttemptOutcome outcome)
 {
     agent::ServiceRouting &routing = this->state.services[request.state.facts.service].routing;
     const BootTime now = BootClock::now();
@@ -75,14 +75,14 @@
     }
 }
 
-void RequestRunner::relay(Running &request, unsigned attempt)
+void RequestRunner::relay(RunningRequest &request, unsigned attempt)
 {
     const LiveAttempt &live = request.attempts.at(attempt);
-    const wire::UpstreamInfo *upstream = agent::findUpstream(this->state.map, live.upstream);
+    const wire::UpstreamInfo *answeredBy = agent::findUpstream(this->state.map, live.upstream);
     Log.event(loop::LogLevel::Info, "request answered", loop::RoutineBound)
         .with("request", request.parsed.requestId)
         .with("status", live.answer.status)
-        .with("upstream", upstream == nullptr ? "" : upstream->name())
+        .with("upstream", answeredBy == nullptr ? "" : answeredBy->name())
         .with("tries", request.state.tries)
         .with("latency_ms", BootClock::now() - request.acceptedAt);
     this->recordCompletion(request, "answered", live.answer.status);
@@ -100,7 +100,7 @@
     request.exchange->answer(std::move(answer));
 }
 
-void RequestRunner::recordCompletion(const Running &request, std::string_view outcomeLabel, int status)
+void RequestRunner::recordCompletion(const RunningRequest &request, std::string_view outcomeLabel, int status)
 {
     if (this->needs.metrics == nullptr || request.origin == Origin::Peer) {
         return;
@@ -116,7 +116,7 @@
     }
 }
 
-void RequestRunner::refuse(Running &request, const agent::RefusalDetails &refusal)
+void RequestRunner::refuse(RunningRequest &request, const agent::RefusalDetails &refusal)
 {
     static constexpr std::array<const char *, 3> RanNames{"no", "unknown", "yes"};
     Log.event(loop::LogLevel::Warn, "request refused")
--- a/src/process/RequestRunnerClaims.cpp
+++ b/src/process/RequestRunnerClaims.cpp
@@ -37,7 +37,7 @@
 
 } // namespace
 
-void RequestRunner::claim(Running &request)
+void RequestRunner::claim(RunningRequest &request)
 {
     wire::ClaimRequest claim;
     claim.set_service(request.state.facts.service);
@@ -48,20 +48,20 @@
     const auto unixTime = std::chrono::system_clock::now().time_since_epoch();
     claim.set_unix_ms(static_cast<std::uint64_t>(std::chrono::duration_cast<milliseconds>(unixTime).count()));
     const auto left = std::chrono::duration_cast<milliseconds>(request.state.facts.deadline - BootClock::now());
-    request.claimPending = true;
-    const Number number = request.number;
+    request.isClaimPending = true;
+    const RequestNumber number = request.number;
     this->needs.claims->claim(claim, std::max(left, milliseconds(1)), [this, number](const wire::ClaimReply &reply) {
         const auto found = this->running.find(number);
         if (found == this->running.end()) {
             return;
         }
         found->second->claim = reply;
-        found->second->claimPending = false;
+        found->second->isClaimPending = false;
         this->handle(number, {.kind = EventKind::ClaimAnswered, .claim = claimAnswer(reply)});
     });
 }
 
-void RequestRunner::relayRecorded(Running &request)
+void RequestRunner::relayRecorded(RunningRequest &request)
 {
     const wire::ClaimOutcome &outcome = request.claim.outcome();
     net::HttpAnswer answer;
@@ -78,7 +78,7 @@
     request.exchange->answer(std::move(answer));
 }
 
-void RequestRunner::record(Running &request, const agent::RequestAction &action)
+void RequestRunner::record(RunningRequest &request, const agent::RequestAction &action)
 {
     wire::ClaimOutcome outcome;
     outcome.set_service(request.state.facts.service);
--- a/src/process/RequestRunnerLimits.cpp
+++ b/src/process/RequestRunnerLimits.cpp
@@ -59,7 +59,7 @@
     return this->state.protocol->refuse({refusalFor(decision), &this->state.random});
 }
 
-void RequestRunner::returnAdmission(const Running &request, const agent::RefusalDetails &refusal)
+void RequestRunner::returnAdmission(const RunningRequest &request, const agent::RefusalDetails &refusal)
 {
     if (request.parsed.countsAgainstShare && refusal.ran == agent::Ran::No) {
         agent::returnAdmission(this->state.limits, request.parsed.workspace);
--- a/src/process/RequestRunnerLog.cpp
+++ b/src/process/RequestRunnerLog.cpp
@@ -12,11 +12,11 @@
 } // namespace
 
 /** Logs which upstream was chosen and why; a warning when there is none. */
-void RequestRunner::logUpstreamChoice(const Running &request, std::uint32_t upstream) const
+void RequestRunner::logUpstreamChoice(const RunningRequest &request, std::uint32_t upstream) const
 {
     const agent::RequestFacts &facts = request.state.facts;
-    const wire::UpstreamInfo *known = agent::findUpstream(this->state.map, upstream);
-    if (known == nullptr) {
+    const wire::UpstreamInfo *info = agent::findUpstream(this->state.map, upstream);
+    if (info == nullptr) {
         Log.event(loop::LogLevel::Warn, "no upstream")
             .with("request", request.parsed.requestId)
             .with("service", facts.service)
@@ -29,23 +29,23 @@
     const auto health = service == this->state.services.end()
                             ? std::map<std::uint32_t, agent::UpstreamHealth>::const_iterator()
                             : service->second.routing.health.find(upstream);
-    const bool seen = service != this->state.services.end() && health != service->second.routing.health.end();
+    const bool hasHealth = service != this->state.services.end() && health != service->second.routing.health.end();
     const auto slice = facts.keyed ? agent::findSlice(this->state.map, facts.service, facts.hash) : std::nullopt;
     Log.event(loop::LogLevel::Info, "upstream chosen", loop::RoutineBound)
         .with("request", request.parsed.requestId)
-        .with("upstream", known->name())
-        .with("agent", known->agent())
+        .with("upstream", info->name())
+        .with("agent", info->agent())
         .with("why",
               facts.keyed                      ? "owner of the key"
               : request.parsed.facts.forwarded ? "asked for"
                                                : "least busy")
         .with("epoch", slice ? slice->epoch : 0)
-        .with("load", seen ? health->second.load : 0)
-        .with("load_age_ms", seen ? BootClock::now() - health->second.loadAt : std::chrono::nanoseconds(0))
-        .with("outstanding", seen ? health->second.outstanding : 0);
+        .with("load", hasHealth ? health->second.load : 0)
+        .with("load_age_ms", hasHealth ? BootClock::now() - health->second.loadAt : std::chrono::nanoseconds(0))
+        .with("outstanding", hasHealth ? health->second.outstanding : 0);
 }
 
-void RequestRunner::recordTime(const Running &request, const LiveAttempt &attempt)
+void RequestRunner::recordTime(const RunningRequest &request, const LiveAttempt &attempt)
 {
     if (this->needs.metrics == nullptr) {
         return;
--- a/src/process/RequestRunnerRouting.cpp
+++ b/src/process/RequestRunnerRouting.cpp
@@ -5,7 +5,7 @@
 
 namespace bergamotweir::process {
 
-void RequestRunner::route(Running &request)
+void RequestRunner::route(RunningRequest &request)
 {
     std::uint32_t upstream = 0;
     if (request.origin == Origin::Peer) {
@@ -20,7 +20,7 @@
     this->handle(request.number, {.kind = agent::EventKind::Routed, .upstream = upstream, .local = local});
 }
 
-std::uint32_t RequestRunner::routeKeyed(const Running &request) const
+std::uint32_t RequestRunner::routeKeyed(const RunningRequest &request) const
 {
     const agent::RequestFacts &facts = request.state.facts;
     const auto slice = agent::findSlice(this->state.map, facts.service, facts.hash);
@@ -38,14 +38,14 @@
     return isServedHere ? slice->owner : 0;
 }
 
-std::uint32_t RequestRunner::routeUnkeyed(Running &request)
+std::uint32_t RequestRunner::routeUnkeyed(RunningRequest &request)
 {
     ServiceState &service = this->state.services[request.state.facts.service];
     return agent::choose(
         service.routing, service.candidates, request.state.tried, this->state.random, BootClock::now());
 }
 
-std::uint32_t RequestRunner::routeForwarded(const Running &request) const
+std::uint32_t RequestRunner::routeForwarded(const RunningRequest &request) const
 {
     const agent::RequestFacts &facts = request.state.facts;
     const std::uint32_t requested = request.parsed.requestedUpstream;
--- a/src/process/RequestText.cpp
+++ b/src/process/RequestText.cpp
@@ -91,8 +91,8 @@
 {
     parsed.facts.forwarded = true;
     parsed.requestId = headerText(request, "Request-Id");
-    const std::uint64_t requestedUpstream = readNumber(headerText(request, UpstreamHeader)).value_or(0);
-    parsed.requestedUpstream = static_cast<std::uint32_t>(requestedUpstream);
+    const std::uint64_t upstreamId = readNumber(headerText(request, UpstreamHeader)).value_or(0);
+    parsed.requestedUpstream = static_cast<std::uint32_t>(upstreamId);
     parsed.suspect = !headerText(request, SuspectHeader).empty();
 }
 
--- a/src/process/RequestText.h
+++ b/src/process/RequestText.h
@@ -43,8 +43,7 @@
 /** Adds the header fields that the next agent needs of a request; they are read back by readForwarded(). */
 void addForwarding(std::vector<net::Header> &headers, const ParsedRequest &parsed, BootTime now);
 
-/** Reads a request that another agent has parsed and forwarded. @return the request, or the answer that refuses it
- * (400) */
+/** Reads a request forwarded by another agent. @return the request, or the answer that refuses it (400) */
 std::variant<ParsedRequest, net::HttpAnswer> readForwarded(const net::HttpRequest &request, BootTime now);
 
 /** @return the header fields to pass on with the request: without the connection's and the system's own */
--- a/src/process/RunControl.cpp
+++ b/src/process/RunControl.cpp
@@ -39,7 +39,7 @@
     loop->onSignal(SIGTERM, stop);
     loop->onSignal(SIGINT, stop);
     loop->onSignal(SIGHUP, [] {
-        Log.info("SIGHUP received; changed settings take effect at the next start");
+        Log.info("SIGHUP received; changed settings count from the next start");
     });
     loop->run();
     return exitCode;
--- a/src/process/RunningRequest.h
+++ b/src/process/RunningRequest.h
@@ -18,8 +18,8 @@
 };
 
 /** A request in progress: its state and what its actions need. */
-struct RequestRunner::Running {
-    Number number = 0;
+struct RequestRunner::RunningRequest {
+    RequestNumber number = 0;
     Origin origin = Origin::Caller;
     std::shared_ptr<net::Exchange> exchange;
     ParsedRequest parsed;
@@ -27,7 +27,7 @@
     BootTime acceptedAt;
     std::map<unsigned, LiveAttempt> attempts;
     wire::ClaimReply claim;
-    bool claimPending = false;
+    bool isClaimPending = false;
     /** Events raised while an earlier one is being handled. */
     std::deque<agent::RequestEvent> events;
     bool isHandlingEvents = false;
--- a/src/process/UpstreamProtocol.h
+++ b/src/process/UpstreamProtocol.h
@@ -14,8 +14,8 @@
 namespace bergamotweir::process {
 
 /**
- * The adapter to the upstream's protocol. Only this file knows the protocol's paths, JSON and header fields, so that
- * supporting another protocol means replacing this file alone.
+ * The adapter to the upstream's protocol. All that depends on the protocol's paths, JSON and header fields is here, so
+ * that supporting another protocol means replacing this file alone.
  */
 
 /** A range of the key hash space, end excluded; an end of 0 means the end of the space. */
--- a/tests/ProcessFaultTest.cpp
+++ b/tests/ProcessFaultTest.cpp
@@ -311,8 +311,9 @@
 
 // Keys are unavailable while their failure domain is marked out, or its upstreams still get requests afterwards.
 // Order: mark out while requests continue; mark in. Cause: unfinished moves or stale routes.
-TEST_CASE("process fault: a failure domain marked out gets no requests after 2 s, and gets them again after mark in",
-          "[process]")
+TEST_CASE(
+    "process fault: a failure domain marked out gets no new work after two seconds, and gets work again once marked in",
+    "[process]")
 {
     Deployment deployment(enrolments("mark-out"));
     waitUntilServed(deployment);
--- a/tests/ReplicaGroup.h
+++ b/tests/ReplicaGroup.h
@@ -129,9 +129,9 @@
     /** Runs the loop until a condition holds; fails the test if it never does. */
     void runUntil(const std::function<bool()> &condition)
     {
-        bool late = false;
-        const loop::TimerId watchdog = this->loop->after(std::chrono::seconds(30), [this, &late] {
-            late = true;
+        bool timedOut = false;
+        const loop::TimerId watchdog = this->loop->after(std::chrono::seconds(30), [this, &timedOut] {
+            timedOut = true;
             this->loop->stop();
         });
         const loop::TimerId poll = this->loop->every(std::chrono::milliseconds(1), [this, &condition] {
@@ -142,7 +142,7 @@
         this->loop->run();
         this->loop->cancel(poll);
         this->loop->cancel(watchdog);
-        REQUIRE_FALSE(late);
+        REQUIRE_FALSE(timedOut);
     }
 
     void runUntilLeader()
--- a/tests/ReplicaNodeTest.cpp
+++ b/tests/ReplicaNodeTest.cpp
@@ -34,8 +34,8 @@
         group.start(id);
     }
     group.commit("first");
-    const std::string stopped = group.leader == "a" ? "b" : "a";
-    group.stop(stopped);
+    const std::string lagging = group.leader == "a" ? "b" : "a";
+    group.stop(lagging);
     int applied = 0;
     for (int number = 0; number < 500; ++number) {
         group.nodes.at(group.leader)
@@ -46,11 +46,11 @@
     group.runUntil([&] {
         return applied == 500;
     });
-    group.start(stopped);
+    group.start(lagging);
     group.runUntil([&] {
-        return group.states[stopped].size() == 501;
+        return group.states[lagging].size() == 501;
     });
-    REQUIRE(group.states[stopped] == group.states[group.leader]);
+    REQUIRE(group.states[lagging] == group.states[group.leader]);
 }
 
 // A VM is lost with its disk and replaced, then a second VM is lost.
--- a/tests/RequestTextTest.cpp
+++ b/tests/RequestTextTest.cpp
@@ -112,7 +112,7 @@
     REQUIRE(times.at("1") > 50);
 }
 
-TEST_CASE("an announcement is read completely, and all findings about an invalid one are reported")
+TEST_CASE("an announcement is read whole, and all that is wrong with one is reported")
 {
     const auto good =
         parseAnnouncement(R"({"service":"catalogue","name":"w1","port":8080,"incarnation":"i","slots":12,)"
@@ -139,7 +139,7 @@
 
 // A payment that ran is reported as "did not run", or is sent again, if the outcome of a call without a complete answer
 // is read too optimistically.
-TEST_CASE("a request counts as possibly run at an upstream unless that is ruled out")
+TEST_CASE("how a request ended at an upstream: it may have run unless that is ruled out")
 {
     REQUIRE(readAttemptResult(answerWith(503, {{"Request-Ran", "no"}})).outcome == agent::AttemptOutcome::Overloaded);
     REQUIRE(readAttemptResult(answerWith(409, {{"Request-Ran", "no"}})).outcome == agent::AttemptOutcome::NotOwner);
--- a/tests/WholePathTest.cpp
+++ b/tests/WholePathTest.cpp
@@ -67,7 +67,7 @@
 
 } // namespace
 
-TEST_CASE("a request to any agent reaches the only owner of its key, and its complete answer is returned", "[process]")
+TEST_CASE("a request to any agent reaches the only owner of its key, and its whole answer is returned", "[process]")
 {
     const Deployment deployment(smallPlan("whole-path"));
     REQUIRE(Deployment::eventually(5s, [&] {
