--- a/include/net/CallResult.h
+++ b/include/net/CallResult.h
@@ -8,33 +8,36 @@
 
 /** How a call ended. */
 enum class CallOutcome {
-    /** A whole answer of any status. */
+    /** A complete answer of any status was received. */
     Answered,
-    /** Provably no byte of the request reached the peer: refused, connect timeout, given up before the connection. */
+    /**
+     * Provably no byte of the request reached the peer: the connection was refused, was not established in time, or
+     * the call ended before there was a connection.
+     */
     NotSent,
-    /** The connection broke before the whole header of an answer; the request may have reached the peer. */
+    /** The connection was lost before a complete answer header was read; the request may have reached the peer. */
     ConnectionLost,
-    /** The answer's body ended early, or had no stated length so that its end can't be told from a crash. */
+    /** The answer's body ended early, or its end cannot be told from a crash because no length was stated. */
     TruncatedAnswer,
     /** The answer's body was larger than allowed. */
     TooLarge,
-    /** No whole answer in time; the request may have reached the peer. */
+    /** No complete answer arrived before the time-out; the request may have reached the peer. */
     TimedOut,
     /** cancel() was called. */
     Cancelled,
 };
 
-/** @return the end's name, for logs */
+/** @return the outcome's name, for logs */
 const char *toText(CallOutcome outcome);
 
-/** What became of an HttpCall. */
+/** The outcome of an HttpCall and, if there is one, its answer. */
 struct CallResult {
     CallOutcome outcome = CallOutcome::NotSent;
     /** False only if provably no byte of the request was sent. */
     bool mayHaveRun = false;
-    /** Set only if the end is Answered. */
+    /** Set only if the outcome is Answered. */
     HttpAnswer answer;
-    /** Since send(). */
+    /** Time since send(). */
     std::chrono::nanoseconds elapsed{0};
 };
 
--- a/include/net/Exchange.h
+++ b/include/net/Exchange.h
@@ -9,9 +9,9 @@
 namespace bergamotweir::net {
 
 /**
- * One request in the server, from its last byte to its answer.
- * Shared between the server and whoever works on the answer; used on the loop's thread only.
- * May outlive the server; answering is then without effect.
+ * A request received by a server, from its last byte until it is answered.
+ * Shared between the server and the handler that answers it; used on the loop's thread only.
+ * May outlive the server; answering then has no effect.
  */
 class Exchange
 {
@@ -21,24 +21,25 @@
     Exchange(const Exchange &) = delete;
     Exchange &operator=(const Exchange &) = delete;
 
-    /** @return the whole request */
+    /** @return the complete request */
     const HttpRequest &request() const
     {
         return this->received;
     }
 
     /**
-     * Answers the request, exactly once; may be called from within the server's handler.
-     * Without effect once the caller went away.
+     * Answers the request. Called exactly once, possibly from within the server's handler.
+     * Has no effect after the caller has disconnected.
      */
     virtual void answer(HttpAnswer answer) = 0;
 
-    /** @return true once the caller closed its side of the connection before the answer */
+    /** @return whether the caller closed its side of the connection before the answer */
     virtual bool isAbandoned() const = 0;
 
     /**
-     * Sets what to do when the caller goes away before the answer. Called at most once, never after answer().
-     * A caller that only shuts down its sending side counts as gone: it cannot be told from one that was killed.
+     * Sets the task that runs when the caller disconnects before the answer. The task runs at most once, never after
+     * answer(). A caller that shuts down only its sending side counts as disconnected, because it cannot be told from
+     * one that was killed.
      */
     void onAbandoned(std::function<void()> task)
     {
--- a/include/net/ExpectedBody.h
+++ b/include/net/ExpectedBody.h
@@ -9,8 +9,8 @@
 namespace bergamotweir::net {
 
 /**
- * A request whose header fields were read and whose caller waits for "100 Continue" before it sends the body.
- * Shared between the server and whoever admits bodies; used on the loop's thread only.
+ * A request whose header fields have been read and whose caller waits for "100 Continue" before it sends the body.
+ * Shared between the server and the code that decides on admission of bodies; used on the loop's thread only.
  */
 class ExpectedBody
 {
@@ -23,16 +23,18 @@
     /** @return the request without its body */
     virtual const HttpRequest &head() const = 0;
 
-    /** @return bytes of the body, as the caller states them */
+    /** @return the length of the body in bytes, as stated by the caller */
     virtual std::size_t length() const = 0;
 
-    /** Lets the caller send the body; without effect once it went away. */
+    /** Lets the caller send the body. Has no effect after the caller has disconnected. */
     virtual void proceed() = 0;
 
-    /** Answers the request in place of proceed(); without effect once the caller went away. */
+    /** Answers the request without reading its body, in place of proceed(). Has no effect after the caller has
+     * disconnected. */
     virtual void refuse(HttpAnswer answer) = 0;
 
-    /** Sets what to do when the body was read whole (true), or its caller is gone (false); called once. */
+    /** Sets the task that runs once: with true when the whole body was read, with false when the request ended before
+     * that, for example because the caller disconnected. */
     void onEnded(std::function<void(bool whole)> task)
     {
         this->endedTask = std::move(task);
--- a/include/net/Header.h
+++ b/include/net/Header.h
@@ -15,18 +15,18 @@
 };
 
 /**
- * Finds a header field by its name, without regard to letter case.
- * @param headers where to look
+ * Finds a header field by its name, ignoring letter case.
+ * @param headers the fields to search
  * @param name the field's name
  * @return its first value, or nullptr when there is none; valid as long as @p headers
  */
 const std::string *findHeader(const std::vector<Header> &headers, std::string_view name);
 
 /**
- * Tells the fields that belong to one connection (RFC 9110, 7.6.1) or to the framing of one message.
- * Both HttpServer and HttpClient write these themselves and ignore the ones they are given.
+ * Tells whether a field belongs to one connection (RFC 9110, 7.6.1) or to the framing of one message.
+ * HttpServer and HttpClient both write these fields themselves and ignore the ones passed to them.
  * @param name the field's name, in any letter case
- * @return true for Connection, Content-Length, Transfer-Encoding and their like
+ * @return true for Connection, Content-Length, Transfer-Encoding and similar fields
  */
 bool isConnectionHeader(std::string_view name);
 
--- a/include/net/HttpAnswer.h
+++ b/include/net/HttpAnswer.h
@@ -4,7 +4,7 @@
 
 namespace bergamotweir::net {
 
-/** A whole answer. */
+/** A complete HTTP answer. */
 struct HttpAnswer {
     int status = 0;
     std::vector<Header> headers;
--- a/include/net/HttpClient.h
+++ b/include/net/HttpClient.h
@@ -13,30 +13,30 @@
 
 namespace bergamotweir::net {
 
-/** Names a call; 0 is never used. */
+/** Identifies a call; 0 is never used. */
 using CallId = std::uint64_t;
 
-/** What bounds one HttpClient. */
+/** Bounds of one HttpClient. */
 struct HttpClientSettings {
-    /** Open connections kept for reuse, all peers together. */
+    /** Maximum number of idle connections kept for reuse, over all peers. */
     unsigned maxIdleConnections = 1024;
-    /** Connections to one peer; further calls wait for one, within their timeouts. */
+    /** Maximum number of connections to one peer; further calls wait for one, within their time-outs. */
     unsigned maxConnectionsPerPeer = 128;
-    /** An idle connection older than this is not reused; below the servers' idle timeout. */
+    /** An idle connection older than this is not reused; shorter than the idle time-out of the servers. */
     std::chrono::seconds maxIdleAge{20};
 };
 
 /**
  * HTTP/1.1 client (libcurl multi) that runs on the event loop's thread.
- * Sends each call at most once, whatever its method: nothing is ever sent again on another connection, so retries
- * are the decision of the one who sends. A connection whose answer is outstanding is closed, never reused.
+ * Sends each call at most once, whatever its method: a request is never sent again on another connection, so retries
+ * are left to the user of this class. A connection with an outstanding answer is closed, never reused.
  */
 class HttpClient
 {
 public:
     using Done = std::function<void(CallResult)>;
 
-    /** @param loop outlives the client */
+    /** @param loop must outlive the client */
     explicit HttpClient(loop::EventLoop &loop, const HttpClientSettings &settings = {});
 
     /** Ends all calls; their callbacks are not called. */
@@ -46,22 +46,23 @@
 
     /**
      * Sends a request.
-     * @param call what to send where; header fields of the connection and with control characters are left out
+     * @param call the request and its peer; header fields that belong to a connection or contain control characters
+     * are left out
      * @param done called exactly once on the loop's thread, never from within send()
-     * @return the call's name
+     * @return the call's id
      */
     CallId send(HttpCall call, Done done);
 
     /**
-     * Gives a call up: its connection is closed and its callback is called soon with Cancelled, never from within
-     * cancel(). A call that has ended is ignored.
+     * Cancels a call: closes its connection and calls its callback with Cancelled in a later loop iteration, never from
+     * within cancel(). Has no effect on a call that has ended.
      */
     void cancel(CallId call);
 
-    /** @return connections opened since the start */
+    /** @return number of connections opened since the client was created */
     std::uint64_t connectionsOpened() const;
 
-    /** @return calls sent and not ended */
+    /** @return number of calls that were passed to send() and have not ended */
     std::size_t inProgress() const;
 
 private:
--- a/include/net/HttpRequest.h
+++ b/include/net/HttpRequest.h
@@ -4,14 +4,14 @@
 
 namespace bergamotweir::net {
 
-/** A whole request as the server received it. */
+/** A complete request as the server received it. */
 struct HttpRequest {
     std::string method;
-    /** Path and query exactly as sent, nothing decoded. */
+    /** Path and query exactly as sent, not decoded. */
     std::string target;
     std::vector<Header> headers;
     std::string body;
-    /** IP:port of the other side. */
+    /** IP:port of the caller's end of the connection. */
     std::string peer;
 };
 
--- a/include/net/HttpServer.h
+++ b/include/net/HttpServer.h
@@ -16,27 +16,28 @@
 
 /**
  * HTTP/1.1 server (libmicrohttpd) that runs on the event loop's thread.
- * Hands over whole, bounded requests. What it refuses itself (431, 413) is application/problem+json with
- * Request-Ran: no; bytes that are not HTTP at all get libmicrohttpd's bare 400 and the connection is closed.
+ * Passes complete requests of bounded size to its handler. Requests that it refuses itself (431, 413) are answered with
+ * application/problem+json and Request-Ran: no. Bytes that are not HTTP are answered with libmicrohttpd's bare 400, and
+ * the connection is closed.
  */
 class HttpServer
 {
 public:
     using Handler = std::function<void(std::shared_ptr<Exchange>)>;
-    /** Returns the answer that refuses the body, or nothing: then the body waits for ExpectedBody::proceed(). */
+    /** Returns an answer to refuse the body, or nullopt to hold it until ExpectedBody::proceed() or refuse(). */
     using BodyAdmission = std::function<std::optional<HttpAnswer>(const std::shared_ptr<ExpectedBody> &)>;
 
     /**
-     * Binds and starts to accept.
-     * @param loop outlives the server
-     * @param settings bounds and address
-     * @param handler called on the loop's thread with each whole request
+     * Binds to the address and starts to accept connections.
+     * @param loop must outlive the server
+     * @param settings address and bounds
+     * @param handler called on the loop's thread with each complete request
      * @return the server, or why it could not listen
      */
     static Result<std::unique_ptr<HttpServer>>
     listen(loop::EventLoop &loop, const HttpServerSettings &settings, Handler handler);
 
-    /** Closes all connections; answers not given yet are lost, their onAbandoned tasks are not called. */
+    /** Closes all connections. Requests without an answer get none, and their onAbandoned tasks are not called. */
     ~HttpServer();
     HttpServer(const HttpServer &) = delete;
     HttpServer &operator=(const HttpServer &) = delete;
@@ -45,18 +46,18 @@
     std::uint16_t port() const;
 
     /**
-     * @return how many requests have been handed over and not ended: an answer counts until its last byte is written,
-     * so that a process which stops at 0 cuts nothing off
+     * @return number of requests passed to the handler that have not ended. A request counts until the last byte of its
+     * answer is written, so a process that exits at 0 truncates no answer
      */
     std::size_t inProgress() const;
 
     /**
-     * Sets who decides on bodies that callers announce with "Expect: 100-continue"; without it all may come.
-     * @param admission called on the loop's thread once the header fields are read
+     * Sets the function that decides on bodies announced with "Expect: 100-continue"; without one all are accepted.
+     * @param admission called on the loop's thread when the header fields have been read
      */
     void admitBodies(BodyAdmission admission);
 
-    /** Closes the listening socket; open connections are closed after their next answer. */
+    /** Closes the listening socket and idle connections; other connections are closed after their next answer. */
     void stopAccepting();
 
 private:
--- a/include/net/HttpServerSettings.h
+++ b/include/net/HttpServerSettings.h
@@ -9,21 +9,22 @@
 
 namespace bergamotweir::net {
 
-/** What bounds one HttpServer; made by HttpServerSettingsBuilder. */
+/** Address and bounds of one HttpServer or PipelineServer; created by HttpServerSettingsBuilder. */
 struct HttpServerSettings {
-    /** IPv4 number to bind to. */
+    /** IPv4 address to bind to. */
     std::string address = "127.0.0.1";
-    /** 0 lets the kernel choose. */
+    /** 0 lets the kernel choose a free port. */
     std::uint16_t port = 0;
-    /** Bytes of request line and header fields together; more is answered with 431. */
+    /** Maximum size of request line and header fields together; a larger header is answered with 431. */
     std::size_t maxHeaderBytes = 8UL * 1024;
-    /** Bytes of a request's body; more is answered with 413. */
+    /** Maximum size of a request's body; a larger one is answered with 413. */
     std::size_t maxBodyBytes = 1024UL * 1024;
-    /** A too large body is read up to here and thrown away: a caller still sending would get a reset, not the 413. */
+    /** A body that is too large is read up to this size and discarded. Otherwise a caller that is still sending would
+     * get a connection reset in place of the 413. */
     std::size_t maxDiscardedBytes = 64UL * 1024 * 1024;
-    /** Open connections; further ones wait in the kernel's backlog. */
+    /** Maximum number of open connections; further ones wait in the kernel's backlog. */
     unsigned maxConnections = 4096;
-    /** A connection without a byte for this long, while no answer is outstanding, is closed. */
+    /** A connection on which no byte was transferred for this long, and no answer is outstanding, is closed. */
     std::chrono::seconds idleTimeout{60};
 };
 
@@ -39,7 +40,7 @@
     HttpServerSettingsBuilder &maxConnections(unsigned value);
     HttpServerSettingsBuilder &idleTimeout(std::chrono::seconds value);
 
-    /** @return the settings, or everything that is wrong with them */
+    /** @return the settings, or a finding for each invalid one */
     Result<HttpServerSettings> build() const;
 
 private:
--- a/include/net/PipelineServer.h
+++ b/include/net/PipelineServer.h
@@ -10,11 +10,11 @@
 namespace bergamotweir::net {
 
 /**
- * HTTP/1.1 server (ACE sockets, http-parser) for callers who send requests ahead: safe requests of one connection are
- * worked on side by side, and answered in their order. In all else it is like HttpServer, which works on one request
- * of a connection at a time: libmicrohttpd doesn't read the next one before that.
+ * HTTP/1.1 server (ACE sockets, http-parser) with pipelining: safe requests of one connection are processed
+ * concurrently and answered in the order in which they were sent. Otherwise it behaves as HttpServer, which processes
+ * one request of a connection at a time, because libmicrohttpd does not read the next one before.
  *
- * Gain: a read that was sent ahead doesn't wait for the work on those before it.
+ * A pipelined read therefore does not wait until the requests before it are processed.
  */
 class PipelineServer
 {
@@ -22,16 +22,16 @@
     using Handler = std::function<void(std::shared_ptr<Exchange>)>;
 
     /**
-     * Binds and starts to accept.
-     * @param loop outlives the server
-     * @param settings bounds and address
-     * @param handler called on the loop's thread with each whole request
+     * Binds to the address and starts to accept connections.
+     * @param loop must outlive the server
+     * @param settings address and bounds
+     * @param handler called on the loop's thread with each complete request
      * @return the server, or why it could not listen
      */
     static Result<std::unique_ptr<PipelineServer>>
     listen(loop::EventLoop &loop, const HttpServerSettings &settings, Handler handler);
 
-    /** Closes all connections; answers not given yet are lost, their onAbandoned tasks are not called. */
+    /** Closes all connections. Requests without an answer get none, and their onAbandoned tasks are not called. */
     ~PipelineServer();
     PipelineServer(const PipelineServer &) = delete;
     PipelineServer &operator=(const PipelineServer &) = delete;
@@ -39,11 +39,11 @@
     /** @return the port bound to */
     std::uint16_t port() const;
 
-    /** @return how many requests have been handed over and not ended: an answer counts until its last byte is written
-     */
+    /** @return number of requests passed to the handler that have not ended; a request counts until the last byte of
+     * its answer is written */
     std::size_t inProgress() const;
 
-    /** Closes the listening socket; open connections end with the last answer that is outstanding. */
+    /** Closes the listening socket; each open connection is closed after its last outstanding answer. */
     void stopAccepting();
 
 private:
--- a/src/net/AnswerText.cpp
+++ b/src/net/AnswerText.cpp
@@ -15,16 +15,17 @@
 constexpr int HighestStatus = 999;
 constexpr int NoContent = 204;
 constexpr int NotModified = 304;
-/** Room for the status line and the fields that are added here. */
+/** Reserved for the status line and the fields that are added here, and for each header field. */
 constexpr std::size_t FramingBytes = 128;
 
-/** @return whether a status says by itself that no body follows */
+/** @return whether answers of this status never have a body */
 bool isBodiless(int status)
 {
     return status == NoContent || status == NotModified;
 }
 
-/** Guard against an answer split in two: a line end within a field would let its maker write a second answer. */
+/** Guards against response splitting: a line end within a field would let the sender of the field add a second answer.
+ */
 bool isOneLine(const Header &header)
 {
     constexpr std::string_view LineEnds("\r\n\0", 3);
--- a/src/net/AnswerText.h
+++ b/src/net/AnswerText.h
@@ -6,17 +6,17 @@
 
 namespace bergamotweir::net {
 
-/** What the framing of an answer depends on beside the answer itself. */
+/** Properties of the request and the connection that the framing of an answer depends on. */
 struct AnswerFraming {
-    /** The request was a HEAD: the length of the body that GET would bring, and no body. */
+    /** The request was a HEAD: the answer states the length of the body that GET would return, and has no body. */
     bool head = false;
-    /** The connection ends after it. */
+    /** The connection is closed after the answer. */
     bool closes = false;
 };
 
 /**
- * Writes an answer as HTTP/1.1, its body with a stated length.
- * @param answer one without a final status becomes a 502 of our own
+ * Serializes an answer as HTTP/1.1 with Content-Length.
+ * @param answer the answer; one without a final status is replaced by a 502
  * @return the bytes to send
  */
 std::string answerText(const HttpAnswer &answer, AnswerFraming framing);
--- a/src/net/ClientCall.cpp
+++ b/src/net/ClientCall.cpp
@@ -29,7 +29,7 @@
            && header.name.find(':') == std::string::npos;
 }
 
-/** libcurl writes "Name;" as a field without a value and leaves out "Name:". */
+/** Returns a line for libcurl, which sends "Name;" as a field without a value and leaves out "Name:". */
 std::string headerLine(const Header &header)
 {
     return header.value.empty() ? header.name + ";" : header.name + ": " + header.value;
@@ -50,9 +50,9 @@
 }
 
 /*
- * Failure: a peer sent an answer too many while the connection lay idle. It shows as a caller who gets another
- * caller's answer, and so does everyone after on that connection, because libcurl reuses a connection with bytes
- * waiting. A connection with anything to read before the request is sent is therefore not used.
+ * Failure: a peer sends a surplus answer while the connection is idle. libcurl reuses a connection with unread bytes,
+ * so the next caller, and each one after it on that connection, gets the answer to another caller's request.
+ * A connection with anything to read before the request is sent is therefore not used.
  */
 bool isQuiet(int socket)
 {
@@ -61,10 +61,10 @@
 }
 
 /*
- * Failure: libcurl sends a request again, by itself, when a reused connection turns out to be closed; it does so
- * for POST as well. It shows as one payment executed twice, when the peer read the first copy and died before the
- * first byte of its answer. libcurl calls this before the first byte on each connection, so the second time of one
- * call is such a repetition, and is refused.
+ * Failure: libcurl retries a request by itself when a reused connection turns out to be closed, also a POST. If the
+ * peer read the first copy and crashed before the first byte of its answer, one payment is executed twice. libcurl
+ * calls this function before the first byte on each connection, so a second invocation for one call is such a retry
+ * and is refused.
  */
 int beforeRequest(void *user, char *, char *, int, int localPort)
 {
@@ -83,7 +83,7 @@
     return CURL_PREREQFUNC_OK;
 }
 
-/** Refuses the new connection on which libcurl would repeat a request: it would cost the peer time for nothing. */
+/** Refuses the new connection on which libcurl would retry a request, as the peer would accept it in vain. */
 curl_socket_t openSocket(void *user, curlsocktype, curl_sockaddr *address)
 {
     auto &call = *static_cast<ClientCall *>(user);
@@ -101,8 +101,8 @@
 }
 
 /*
- * Failure: an upstream answers a request twice, or late, on a connection that is kept. It shows as a caller who gets
- * the answer to another caller's request. The answer's echo of the request's id tells.
+ * Failure: an upstream answers a request twice, or late, on a connection that is kept open. A caller then gets the
+ * answer to another caller's request. The request id that the answer echoes reveals the mismatch.
  */
 bool isForeign(const ClientCall &call)
 {
@@ -122,7 +122,7 @@
         return 0;
     }
     if (call.headerComplete) {
-        // Trailer fields are left out.
+        // Trailer fields are ignored.
         return size;
     }
     const std::string_view line = trimmed({data, size});
@@ -136,7 +136,7 @@
         call.answer.status = static_cast<int>(status);
         call.headerComplete = status >= LowestFinalStatus;
         call.foreign = call.headerComplete && isForeign(call);
-        // libcurl closes the connection: what follows on it belongs to other requests as well.
+        // 0 makes libcurl close the connection: later answers on it would belong to other requests as well.
         return call.foreign ? 0 : size;
     }
     const std::size_t colon = line.find(':');
@@ -188,7 +188,7 @@
             list = curl_slist_append(list, headerLine(header).c_str());
         }
     }
-    // What libcurl would add by itself.
+    // A line without a value removes a field that libcurl adds by default.
     for (const char *name : {"Accept", "Content-Type"}) {
         if (findHeader(http.headers, name) == nullptr) {
             list = curl_slist_append(list, (std::string(name) + ":").c_str());
@@ -199,10 +199,10 @@
 }
 
 /**
- * Tells whether the end of the body was stated. A body that ends with its connection looks the same when the peer
- * crashed in the middle, so it counts as whole only for a peer that is known to answer so, and whose connection ended
- * in order and not with a reset.
- * Two different lengths, or a length beside chunks, are no framing either (RFC 9112, 6.3).
+ * Tells whether the end of the body was stated. A body that ends with its connection cannot be told from one that was
+ * truncated by a crash of the peer, so it counts as complete only for a peer that is known to answer this way
+ * (readUntilClose), and only if the connection was closed in order and not reset.
+ * Two different lengths, or a length together with chunked encoding, are invalid framing (RFC 9112, 6.3).
  */
 bool isFramed(const ClientCall &call)
 {
--- a/src/net/ClientCall.h
+++ b/src/net/ClientCall.h
@@ -12,7 +12,7 @@
 
 class ConnectionSockets;
 
-/** One call of HttpClient in progress. Owned by the client; libcurl holds a pointer to it until the call ends. */
+/** A call of HttpClient that is in progress. Owned by the client; libcurl holds a pointer to it until the call ends. */
 struct ClientCall {
     CallId id = 0;
     HttpCall call;
@@ -20,40 +20,40 @@
     BootTime begun;
     /** Null while the call waits for a connection. */
     CURL *easy = nullptr;
-    /** Ends a call that waits for a connection; 0 once it is started. */
+    /** Times out a call that waits for a connection; 0 after the call was started. */
     loop::TimerId waitTimer = 0;
     curl_slist *headers = nullptr;
-    /** The client's; outlives the call. */
+    /** Owned by the client; outlives the call. */
     ConnectionSockets *sockets = nullptr;
     /** The socket opened for this call, or -1. */
     int opened = -1;
 
-    /** libcurl was about to write the request's first byte. */
+    /** libcurl has started to write the request. */
     bool sent = false;
-    /** The connection offered for reuse was closed or held bytes that nobody asked for; nothing was sent on it. */
+    /** The connection to be reused was closed or had unsolicited bytes to read; nothing was sent on it. */
     bool staleConnection = false;
-    /** The blank line after the final status's header fields was read. */
+    /** The empty line after the header fields of a final status was read. */
     bool headerComplete = false;
     bool tooLarge = false;
-    /** The answer names another request. */
+    /** The answer echoes the id of another request. */
     bool foreign = false;
     HttpAnswer answer;
     std::size_t headerBytes = 0;
 };
 
 /**
- * Sets every option of a call on its handle.
- * @param call its easy handle is fresh or reset
+ * Sets all options of a call on its easy handle.
+ * @param call the call; its easy handle is new or was reset
  */
 void prepare(ClientCall &call);
 
-/** Gives a call's handle the time that its deadline leaves, at least a millisecond. */
+/** Sets the time-outs of a call's handle to the time until its deadline, at least a millisecond. */
 void setTimeouts(const ClientCall &call);
 
 /**
- * Tells how a call ended, from what libcurl says and what was seen of the answer.
+ * Determines how a call ended, from libcurl's result code and the part of the answer that was read.
  * @param call the call, no longer in progress
- * @param code libcurl's verdict
+ * @param code libcurl's result of the transfer
  * @return the result; moves the answer out of the call
  */
 CallResult conclude(ClientCall &call, CURLcode code);
--- a/src/net/ConnectionSockets.h
+++ b/src/net/ConnectionSockets.h
@@ -8,7 +8,8 @@
 namespace bergamotweir::net {
 
 /**
- * Finds the socket of a connection that libcurl is about to use: libcurl tells its ends but not its descriptor.
+ * Maps the addresses of a connection to its socket: libcurl reports the addresses of the connection that it is about to
+ * use, but not its descriptor.
  * Owned by HttpClient.
  */
 class ConnectionSockets
@@ -18,19 +19,20 @@
     explicit ConnectionSockets(std::function<void(int)> closing);
 
     /**
+     * Adds an open connection.
      * @param address the peer, IP:port
-     * @param localPort the connection's own port
-     * @param socket the descriptor
+     * @param localPort the local port of the connection
+     * @param socket the connection's descriptor
      */
     void add(const std::string &address, int localPort, int socket);
 
-    /** @return the descriptor, or -1 */
+    /** @return the connection's descriptor, or -1 if it is unknown */
     int find(const std::string &address, int localPort) const;
 
-    /** @return connections that were ever added */
+    /** @return number of connections added since the start */
     std::uint64_t added() const;
 
-    /** Forgets a descriptor that is about to be closed. */
+    /** Removes a descriptor that is about to be closed. */
     void remove(int socket);
 
 private:
--- a/src/net/HttpClient.cpp
+++ b/src/net/HttpClient.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-/** Handles kept for later calls; a new one costs several microseconds. */
+/** Handles kept for later calls; creating one takes several microseconds. */
 constexpr std::size_t MaxSpareHandles = 256;
 
 void initialiseOnce()
@@ -26,7 +26,7 @@
     });
 }
 
-/** The calls to one peer. */
+/** The calls to one peer: how many use a connection, and which ones wait for one. */
 struct Peer {
     unsigned started = 0;
     std::deque<CallId> waiting;
@@ -44,17 +44,17 @@
     std::vector<CURL *> spareHandles;
     std::unordered_map<std::string, Peer> peers;
     std::size_t started = 0;
-    /** Calls given up whose callback is still to be called. */
+    /** Cancelled calls whose callback has not been called yet. */
     std::vector<std::unique_ptr<ClientCall>> cancelled;
     CallId lastCall = 0;
-    /** Lives as long as the client; posted tasks look at it. */
+    /** Destroyed with the client; posted tasks check it before they use the client. */
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
     bool collecting = false;
     bool collectPosted = false;
 
     loop::TimerId timer = 0;
     BootTime timerAt;
-    /** When libcurl wants to be called; may be later than the timer. */
+    /** When libcurl has to be called; may be later than the timer. */
     BootTime wanted;
     bool wants = false;
 
@@ -142,7 +142,7 @@
     }
 }
 
-/** Deadlines mostly move later, so a timer that is early enough is left alone and sets itself again. */
+/** Arms the timer. Deadlines mostly move later, so a timer that expires early enough is kept and then armed again. */
 void HttpClient::Parts::arm()
 {
     if (!this->wants || (this->timer != 0 && this->timerAt <= this->wanted)) {
@@ -198,7 +198,7 @@
     }
     this->collecting = true;
     while (this->collectEnded() || this->collectCancelled()) {
-        // A callback may send or cancel further calls.
+        // Repeated because a callback may send or cancel further calls.
     }
     this->collecting = false;
 }
@@ -240,7 +240,7 @@
     prepare(call);
     curl_easy_setopt(call.easy, CURLOPT_MAXAGE_CONN, static_cast<long>(this->settings.maxIdleAge.count()));
     curl_multi_add_handle(this->multi, call.easy);
-    // Writes the request at once where a connection is open, rather than in the loop's next turn.
+    // Writes the request at once if a connection is open, and not in the next loop iteration.
     int running = 0;
     curl_multi_socket_action(this->multi, CURL_SOCKET_TIMEOUT, 0, &running);
     this->arm();
@@ -250,9 +250,9 @@
 }
 
 /*
- * Failure: all connections to a peer are taken by slow calls. It shows as calls that are answered long after their
- * deadline, because libcurl (7.88) looks at the deadline of a call that waits for a connection only once there is
- * one. Calls therefore wait here, each with a timer.
+ * Failure: slow calls use all connections to a peer, and further calls are answered long after their deadline, because
+ * libcurl (7.88) checks the deadline of a call that waits for a connection only after it got one. Calls therefore wait
+ * here, each with a timer.
  */
 void HttpClient::Parts::wait(ClientCall &call)
 {
@@ -288,7 +288,7 @@
     }
 }
 
-/** Nothing was sent on the stale connection, so a new one may be tried, within the same deadline. */
+/** Retries a call on a new connection, within the same deadline. Safe because nothing was sent on the stale one. */
 bool HttpClient::Parts::sendFresh(ClientCall &call)
 {
     call.staleConnection = false;
--- a/src/net/HttpServer.cpp
+++ b/src/net/HttpServer.cpp
@@ -22,11 +22,12 @@
 namespace {
 
 /**
- * Memory per connection: headers up to this are read, so that the 431 can be our own; beyond, libmicrohttpd sends a
- * bare one. Not larger, because libmicrohttpd clears all of it for each request.
+ * Memory of a connection per byte of the header limit. A header that exceeds the limit but fits in this memory is
+ * answered with this server's own 431; beyond, libmicrohttpd sends a bare one. Not larger, because libmicrohttpd clears
+ * all of the memory for each request.
  */
 constexpr std::size_t PoolPerHeaderByte = 4;
-/** Rounds of libmicrohttpd in one turn of the loop, before others get their turn. */
+/** Bounds the calls of MHD_run() in one loop iteration, so that other event sources are served. */
 constexpr int RoundsPerTurn = 8;
 constexpr std::chrono::seconds IdleSweep{1};
 constexpr int HangUpBatch = 64;
@@ -38,13 +39,13 @@
 struct Connection {
     std::string peer;
     int socket = -1;
-    /** The caller closed its sending side. */
+    /** No further request is read: the caller closed its sending side, or the server stopped accepting. */
     bool hungUp = false;
-    /** The request being worked on, if any. */
+    /** The request in progress, if any. */
     std::weak_ptr<ServerExchange> current;
 };
 
-/** What libmicrohttpd keeps for each request. */
+/** The context that libmicrohttpd stores for each request. */
 struct RequestContext {
     std::shared_ptr<ServerExchange> exchange;
 };
@@ -87,7 +88,7 @@
     delete static_cast<std::string *>(body);
 }
 
-/** For HEAD the answer states the length of the body that GET would bring, and brings none. */
+/** Creates the response. For HEAD it states the length of the body that GET would return, and has no body. */
 MHD_Response *makeResponse(HttpAnswer &answer, bool head)
 {
     const std::string *length = head ? findHeader(answer.headers, "Content-Length") : nullptr;
@@ -111,7 +112,7 @@
     int daemonEvents = -1;
     int hangUps = -1;
     loop::TimerId sweep = 0;
-    /** Lives as long as the server; posted tasks look at it. */
+    /** Destroyed with the server; posted tasks check it before they use the server. */
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
     bool runPosted = false;
     bool running = false;
@@ -169,7 +170,7 @@
     }
 }
 
-/** Targets are handed over as sent; nothing is decoded. */
+/** Leaves percent-encoding in targets: they are passed on as sent. */
 std::size_t keepEscapes(void *, MHD_Connection *, char *text)
 {
     return std::char_traits<char>::length(text);
@@ -263,7 +264,7 @@
     }
     this->running = false;
     if (more) {
-        // Nothing else tells the loop of work that libmicrohttpd has already read from its sockets.
+        // No event follows for data that libmicrohttpd has already read from its sockets.
         this->runSoon();
     }
 }
@@ -283,9 +284,9 @@
 }
 
 /*
- * Failure: a caller goes away while its request is in progress. It shows as work done for nobody, because
- * libmicrohttpd does not look at the socket of a suspended connection. Each socket is therefore watched once, for
- * its whole life, edge-triggered for the closing of the caller's side alone.
+ * Failure: a caller disconnects while its request is in progress, and the request is processed in vain, because
+ * libmicrohttpd does not poll the socket of a suspended connection. Each socket is therefore added to an epoll set of
+ * its own, until it is closed, edge-triggered and only for the closing of the caller's side.
  */
 void HttpServer::Parts::onHangUps()
 {
@@ -313,7 +314,7 @@
         return;
     }
     const std::uint64_t id = ++this->lastConnection;
-    // libmicrohttpd keeps the id in the place of a pointer. NOLINTNEXTLINE(performance-no-int-to-ptr)
+    // libmicrohttpd stores the id in place of a pointer. NOLINTNEXTLINE(performance-no-int-to-ptr)
     *context = reinterpret_cast<void *>(id);
     const MHD_ConnectionInfo *info = MHD_get_connection_info(connection, MHD_CONNECTION_INFO_CLIENT_ADDRESS);
     this->connections[id].peer = peerText(info->client_addr);
@@ -333,7 +334,7 @@
         return this->begin(connection, exchange, method);
     }
     if (exchange.awaitsBody && *size == 0) {
-        // Resumed after it was held: libmicrohttpd calls once more before it reads the body.
+        // Resumed after the body was held: libmicrohttpd calls once more before it reads the body.
         exchange.awaitsBody = false;
         return exchange.state == ServerExchange::State::Answered ? this->queue(connection, exchange) : MHD_YES;
     }
@@ -348,7 +349,7 @@
         exchange.mutableRequest().body.append(data, *size);
     }
     *size = 0;
-    // A body without a stated length may go on for ever: past the bound its connection is cut.
+    // A body without a stated length can be endless: past the bound its connection is closed.
     return exchange.bodyBytes > this->settings.maxDiscardedBytes ? MHD_NO : MHD_YES;
 }
 
@@ -381,7 +382,7 @@
     return MHD_YES;
 }
 
-/** Asks whether the body may come, before the caller is told to send it. */
+/** Asks for admission of the body before "100 Continue" is sent, and suspends the connection while it is undecided. */
 MHD_Result HttpServer::Parts::holdBody(MHD_Connection *connection, ServerExchange &exchange, std::size_t length)
 {
     const std::shared_ptr<ServerExchange> shared = exchange.self.lock();
@@ -474,7 +475,7 @@
     this->parts->loop.cancel(this->parts->sweep);
     this->parts->loop.unwatch(this->parts->daemonEvents);
     this->parts->loop.unwatch(this->parts->hangUps);
-    // libmicrohttpd ends the whole process when it is stopped with a suspended connection.
+    // libmicrohttpd aborts the process when it is stopped with a suspended connection.
     for (const auto &[id, connection] : this->parts->connections) {
         const std::shared_ptr<ServerExchange> exchange = connection.current.lock();
         if (exchange != nullptr) {
@@ -511,8 +512,8 @@
     if (listening != MHD_INVALID_SOCKET) {
         close(listening);
     }
-    // Guards against a stop that waits for callers who keep their connections: one that lies idle ends now, between two
-    // requests. A request that crosses this is not taken: handed over, it would run and its answer find no connection.
+    // Idle connections are closed now, so that a stop does not wait for callers that keep theirs open. A request that
+    // crosses this is not passed to the handler: it would run, and its answer could not be sent.
     for (auto &[id, connection] : this->parts->connections) {
         if (connection.current.expired()) {
             connection.hungUp = true;
--- a/src/net/PipelineConnection.cpp
+++ b/src/net/PipelineConnection.cpp
@@ -13,16 +13,16 @@
 
 namespace {
 
-/** Requests under way on one connection; callers that send ahead do so by a handful. */
+/** Maximum number of requests in flight on one connection; callers that pipeline send only a few ahead. */
 constexpr std::size_t MostUnderWay = 32;
-/** Bytes read ahead behind so many requests, so that a caller who closes is noticed; then reading stops. */
+/** Bytes that are read behind that many requests, so that a caller that disconnects is noticed; then reading stops. */
 constexpr std::size_t MostUnread = 64UL * 1024;
 constexpr std::size_t ReadBytes = 16UL * 1024;
-/** How long a connection that was closed on this side waits for the caller's end of it. */
+/** How long a connection whose sending side was closed here waits for the caller to close it too. */
 constexpr std::chrono::seconds DrainTime{2};
 constexpr const char *ContinueAnswer = "HTTP/1.1 100 Continue\r\n\r\n";
 
-/** @return whether requests of this method have no effects whose order could matter (RFC 9110, 9.2.1) */
+/** @return whether the method is safe: requests have no effects whose order could matter (RFC 9110, 9.2.1) */
 bool isSafe(const std::string &method)
 {
     static constexpr std::array<std::string_view, 3> Safe{"GET", "HEAD", "OPTIONS"};
@@ -72,7 +72,7 @@
     this->pump();
 }
 
-/** Watches for what can be dealt with now. */
+/** Updates the events that the socket is watched for to those that can be handled now. */
 void PipelineConnection::watch()
 {
     if (this->over) {
@@ -92,7 +92,7 @@
     });
 }
 
-/** @return false once the caller has gone; one that closes its sending side alone can't be told from that */
+/** @return false if the caller has disconnected; one that closes only its sending side cannot be told from that */
 bool PipelineConnection::readSocket()
 {
     std::array<char, ReadBytes> bytes; // NOLINT(cppcoreguidelines-pro-type-member-init)
@@ -110,7 +110,7 @@
     return true;
 }
 
-/** Turns bytes into exchanges as long as there is room for them. */
+/** Parses received bytes into exchanges, up to the maximum number in flight. */
 void PipelineConnection::parse()
 {
     std::size_t done = 0;
@@ -158,7 +158,7 @@
     this->closing = last;
 }
 
-/** Queues an answer of the server's own behind those that are due before it. */
+/** Queues an answer of the server's own behind the answers to earlier requests. */
 void PipelineConnection::refuse(HttpAnswer answer, bool last)
 {
     this->take({}, last);
@@ -175,11 +175,11 @@
     return index == 0 || std::none_of(this->exchanges.begin(), last + 1, isUnsafe);
 }
 
-/** @return whether any was */
+/** Passes the requests that may be processed to the handler. @return whether there were any */
 bool PipelineConnection::handOverDue()
 {
     bool any = false;
-    // A handler may answer at once, take away the last exchanges, or end the connection.
+    // Indexed because a handler may answer at once, remove the last exchanges, or close the connection.
     for (std::size_t index = 0; index < this->exchanges.size() && this->mayHandOver(index); ++index) {
         const std::shared_ptr<PipelineExchange> exchange = this->exchanges[index];
         if (exchange->state != PipelineExchange::State::Waiting) {
@@ -213,7 +213,7 @@
     this->watch();
 }
 
-/** Moves the answers that are due into the bytes to send, and sends what the socket takes. @return whether any was */
+/** Serializes the answers that are next in order and sends what the socket accepts. @return whether there were any */
 bool PipelineConnection::writeDue()
 {
     bool any = false;
@@ -231,7 +231,7 @@
     return any;
 }
 
-/** Answers "Expect: 100-continue" once its turn has come. */
+/** Answers "Expect: 100-continue" after all earlier requests have been answered. */
 void PipelineConnection::continueBody()
 {
     if (this->continued || !this->exchanges.empty() || !this->parser.expectsContinue()) {
@@ -244,7 +244,7 @@
     }
 }
 
-/** @return false when the caller has gone */
+/** Sends what the socket accepts. @return false if the caller has disconnected */
 bool PipelineConnection::flush()
 {
     while (!this->unsent.empty()) {
@@ -263,9 +263,9 @@
 }
 
 /**
- * Closes this side alone and reads on until the caller closes too.
- * Guard against answers that are lost after they were sent: a socket closed with unread bytes resets its connection,
- * and the caller loses what it had not read yet.
+ * Closes the sending side and continues to read until the caller closes too.
+ * Guards against the loss of answers that were sent: closing a socket with unread bytes resets the connection, and
+ * the caller loses what it has not read yet.
  */
 void PipelineConnection::finishSending()
 {
@@ -282,7 +282,7 @@
     if (this->closing || this->over) {
         return;
     }
-    // Behind an answer that closes its connection callers count requests as not read, and send them again.
+    // Callers assume that requests behind an answer that closes its connection were not read, and send them again.
     while (!this->exchanges.empty() && this->exchanges.back()->state == PipelineExchange::State::Waiting) {
         this->exchanges.pop_back();
     }
--- a/src/net/PipelineConnection.h
+++ b/src/net/PipelineConnection.h
@@ -13,46 +13,45 @@
 
 namespace bergamotweir::net {
 
-/** What the connections of one server share; outlives them. */
+/** State that the connections of one server share; outlives them. */
 struct PipelineHost {
     loop::EventLoop &loop;
     HttpServerSettings settings;
     std::function<void(std::shared_ptr<Exchange>)> handler;
-    /** A connection has ended and may be forgotten. */
+    /** Called when a connection was closed and can be removed. */
     std::function<void(PipelineConnection *)> ended;
-    /** Requests handed over whose answer has not been written whole. */
+    /** Number of requests passed to the handler whose answer has not been written completely. */
     std::size_t inProgress = 0;
 };
 
 /**
- * One caller's connection: reads requests while earlier ones are worked on, and writes the answers in the order of the
- * requests. Owned by its server; exchanges hold it weakly.
+ * A connection with HTTP pipelining: reads requests while earlier ones are processed, and writes the answers in the
+ * order of the requests. Owned by its server; exchanges hold it weakly.
  *
- * Requests are worked on side by side only while all of them are safe (GET, HEAD, OPTIONS). Any other waits for all
- * before it and holds up all behind it, so that effects keep the order in which they were sent.
+ * Requests are processed concurrently only while all of them are safe (GET, HEAD, OPTIONS). Any other request waits for
+ * all before it and delays all behind it, so that effects keep the order in which they were sent.
  */
 class PipelineConnection : public std::enable_shared_from_this<PipelineConnection>
 {
 public:
-    /** @param stream connected and non-blocking; owned from here on */
+    /** @param stream connected and non-blocking; the connection takes ownership */
     PipelineConnection(PipelineHost &host, const ACE_SOCK_Stream &stream, std::string peer);
     ~PipelineConnection();
     PipelineConnection(const PipelineConnection &) = delete;
     PipelineConnection &operator=(const PipelineConnection &) = delete;
 
-    /** Starts to read. */
     void start();
 
-    /** Hands over the requests that may be worked on, and writes the answers that are due. */
+    /** Passes the requests that may be processed to the handler, and writes the answers that are next in order. */
     void pump();
 
-    /** Takes no further request: ends now, or with the last answer that is outstanding. */
+    /** Accepts no further request and closes the connection, now or after the last outstanding answer. */
     void stopTaking();
 
-    /** Ends the connection if nothing came or went for too long. */
+    /** Closes the connection if no byte was transferred for too long. */
     void sweep(BootTime now);
 
-    /** Closes the socket. @param tell whether those who work on its requests are told that their caller is gone */
+    /** Closes the socket. @param tell whether to run the abandoned tasks of requests in progress */
     void end(bool tell);
 
 private:
@@ -74,23 +73,23 @@
     ACE_SOCK_Stream stream;
     std::string peer;
     RequestParser parser;
-    /** Bytes read and not parsed: behind as many requests as may be under way. */
+    /** Bytes received and not parsed yet, because the maximum number of requests is in flight. */
     std::string unread;
     std::string unsent;
     std::deque<std::shared_ptr<PipelineExchange>> exchanges;
-    /** Answers of handlers within the bytes that are not sent. */
+    /** Number of answers from handlers that have not been sent completely. */
     std::size_t answersUnsent = 0;
     loop::Readiness watched;
-    /** When a byte last came or went. */
+    /** When a byte was last received or sent. */
     BootTime lastMove;
     bool pumping = false;
-    /** The caller was told to go on with the body that it is sending. */
+    /** "100 Continue" was sent for the request that is being read. */
     bool continued = false;
-    /** The request that is being read is the last one to be taken. */
+    /** The request that is being read is the last one to be accepted. */
     bool takesOneMore = false;
-    /** No further request is taken from it. */
+    /** No further request is accepted. */
     bool closing = false;
-    /** Everything was sent; only the caller's end of it is awaited. */
+    /** All answers were sent and the sending side is closed; the caller has not closed its side yet. */
     bool draining = false;
     bool over = false;
 };
--- a/src/net/PipelineExchange.h
+++ b/src/net/PipelineExchange.h
@@ -11,27 +11,27 @@
 {
 public:
     enum class State {
-        /** Whole, and behind one that must end first. */
+        /** Complete, and behind a request that must be answered first. */
         Waiting,
         HandedOver,
         Answered,
         Abandoned,
     };
 
-    /** @param connection where the answer goes; the exchange may outlive it */
+    /** @param connection writes the answer; the exchange may outlive it */
     PipelineExchange(std::weak_ptr<PipelineConnection> connection, HttpRequest request);
 
     void answer(HttpAnswer answer) override;
     bool isAbandoned() const override;
 
-    /** The connection ended before the answer. @param tell whether to run the abandoned task */
+    /** Called when the connection is closed before the answer. @param tell whether to run the abandoned task */
     void abandon(bool tell);
 
     State state = State::Waiting;
     HttpAnswer outgoing;
-    /** The connection ends after this request's answer. */
+    /** The connection is closed after this request's answer. */
     bool last = false;
-    /** A handler got it; an answer of the server's own never had one. */
+    /** The request was passed to the handler; false for those that the server refuses itself. */
     bool handedOver = false;
 
 private:
--- a/src/net/PipelineServer.cpp
+++ b/src/net/PipelineServer.cpp
@@ -14,9 +14,9 @@
 namespace {
 
 constexpr std::chrono::seconds SweepInterval{1};
-/** Connections that the kernel may hold until they are accepted: a burst of callers within one turn of the loop. */
+/** Connections that the kernel queues until they are accepted: enough for a burst within one loop iteration. */
 constexpr int Backlog = 511;
-/** Connections accepted in one turn of the loop, before others get their turn. */
+/** Bounds the connections accepted in one loop iteration, so that other event sources are served. */
 constexpr int AcceptsPerTurn = 64;
 
 ACE_INET_Addr toAddress(const HttpServerSettings &settings)
@@ -77,7 +77,7 @@
     return {};
 }
 
-/** Accepts while there is room; further callers wait in the kernel's backlog. */
+/** Accepts connections up to the maximum; further callers wait in the kernel's backlog. */
 void PipelineServer::Parts::watchAcceptor()
 {
     const bool open = this->acceptor.get_handle() != ACE_INVALID_HANDLE;
--- a/src/net/RequestParser.cpp
+++ b/src/net/RequestParser.cpp
@@ -10,16 +10,16 @@
 
 namespace {
 
-/** What a field takes beside its name and value: colon, space and line end. */
+/** Bytes of a header field besides its name and value: colon, space and line end. */
 constexpr std::size_t FieldOverhead = 4;
-/** What http-parser reports as the length of a message that states none. */
+/** The length that http-parser reports for a message that states none. */
 constexpr std::uint64_t NoLength = std::numeric_limits<std::uint64_t>::max();
 
 constexpr int GoOn = 0;
-/** Any other number than 0 to 2, which say something else once the header fields have ended. */
+/** Must not be 0 to 2, which have other meanings as the result of on_headers_complete. */
 constexpr int Stop = -1;
 
-/** @return whether this is a field's name by RFC 9110, 5.6.2; http-parser may be built to let others through */
+/** @return whether this is a valid field name (RFC 9110, 5.6.2); some builds of http-parser accept others too */
 bool isToken(const std::string &name)
 {
     constexpr std::string_view Marks = "!#$%&'*+-.^_`|~";
@@ -29,7 +29,7 @@
     });
 }
 
-/** @return whether the end of the message can be told only by a framing that is understood here */
+/** @return whether the message uses a transfer encoding that is not supported, so that its end is unknown */
 bool hasUnknownFraming(const http_parser &parser, const std::vector<Header> &headers)
 {
     return findHeader(headers, "Transfer-Encoding") != nullptr && (parser.flags & F_CHUNKED) == 0;
@@ -37,7 +37,7 @@
 
 } // namespace
 
-/** What http-parser calls as it reads; each returns Stop to end the reading. */
+/** Callbacks of http-parser; each returns Stop to end parsing. */
 struct ParserCallbacks {
     static RequestParser &of(http_parser *parser)
     {
@@ -101,7 +101,7 @@
             reader.current = ParseStage::Malformed;
             return Stop;
         }
-        // An offer to speak another protocol may be ignored, and is.
+        // Ignores an offer to change the protocol (Upgrade), as a server may.
         parser->upgrade = 0;
         for (Header &header : reader.request.headers) {
             header.value.erase(header.value.find_last_not_of(" \t") + 1);
--- a/src/net/RequestParser.h
+++ b/src/net/RequestParser.h
@@ -9,28 +9,28 @@
 
 namespace bergamotweir::net {
 
-/** How far a RequestParser is with the request that it reads. */
+/** Progress of a RequestParser with the request that it reads. */
 enum class ParseStage {
-    /** No byte of it has come. */
+    /** No byte of the request has been read. */
     Idle,
-    /** Its line or header fields are being read. */
+    /** The request line or the header fields are being read. */
     Header,
     Body,
     Whole,
-    /** Whole, and its body was larger than allowed and thrown away: 413. */
+    /** The request was read, but its body was larger than allowed and was discarded: 413. */
     BodyTooLarge,
-    /** The header fields are larger than allowed: 431. Nothing more can be read. */
+    /** The header fields are larger than allowed: 431. The connection cannot be read further. */
     HeaderTooLarge,
-    /** The stated body is too large even to be thrown away: 413. Nothing more can be read. */
+    /** The body is too large even to be read and discarded: 413. The connection cannot be read further. */
     BodyRefused,
-    /** These bytes are no HTTP: 400. Nothing more can be read. */
+    /** The bytes are not valid HTTP: 400. The connection cannot be read further. */
     Malformed
 };
 
 /**
- * Reads the requests of one connection from its bytes, one after the other (http-parser).
- * Guard against smuggled requests: a message with both a length and chunks, two lengths, or a malformed field is
- * Malformed, and nothing behind it on the connection is read.
+ * Parses the requests of one connection, one after the other (http-parser).
+ * Guards against request smuggling: a message with both a length and chunked encoding, with two lengths, or with a
+ * malformed field is Malformed, and nothing behind it on the connection is read.
  */
 class RequestParser
 {
@@ -38,20 +38,20 @@
     explicit RequestParser(const HttpServerSettings &settings);
 
     /**
-     * Reads bytes up to the end of one request at most.
-     * @return how many were read; fewer than given once the stage is Whole or beyond
+     * Reads bytes, at most up to the end of one request.
+     * @return number of bytes read; may be fewer than given when the stage is Whole or a later one
      */
     std::size_t read(std::string_view bytes);
 
     ParseStage stage() const;
 
-    /** @return whether the connection may go on after the request; valid once its header fields were read */
+    /** @return whether the connection stays open after the request; valid when its header fields have been read */
     bool keepsConnection() const;
 
     /** @return whether the caller waits for "100 Continue" before it sends the body */
     bool expectsContinue() const;
 
-    /** @return the request that is Whole; the parser is Idle after it */
+    /** Returns the request, which must be Whole, and makes the parser Idle. */
     HttpRequest take();
 
 private:
--- a/src/net/ServerExchange.cpp
+++ b/src/net/ServerExchange.cpp
@@ -37,7 +37,7 @@
 void ServerExchange::abandon()
 {
     if (this->state == State::Receiving) {
-        // libmicrohttpd finds the connection closed when it looks for the body.
+        // libmicrohttpd finds the connection closed when it tries to read the body.
         this->wake();
         return;
     }
@@ -114,7 +114,7 @@
     if (this->suspended && this->connection != nullptr) {
         this->suspended = false;
         MHD_resume_connection(this->connection);
-        // Without this the answer waits for the next byte from anyone: a resumed connection makes no event.
+        // Without this the answer waits for the next event of any connection, because resuming one causes no event.
         this->host->runSoon();
     }
 }
--- a/src/net/ServerExchange.h
+++ b/src/net/ServerExchange.h
@@ -9,24 +9,24 @@
 
 namespace bergamotweir::net {
 
-/** What an exchange needs of the server; outlived by exchanges, which then hold no pointer to it. */
+/** The part of the server that exchanges use. They may outlive it; detach() clears their pointer to it. */
 struct ExchangeHost {
-    /** Requests handed over whose answer has not been written whole. */
+    /** Number of requests passed to the handler whose answer has not been written completely. */
     std::size_t inProgress = 0;
-    /** Makes libmicrohttpd look at its connections in the loop's next turn. */
+    /** Runs libmicrohttpd in the next loop iteration. */
     std::function<void()> runSoon;
 };
 
 /**
- * The server's side of an Exchange. Owned by libmicrohttpd's request context from the request line on, and shared
- * with the handler once the request is whole.
+ * A request of HttpServer. Owned by libmicrohttpd's request context from the request line on, and shared with the
+ * handler when the request is complete.
  */
 class ServerExchange : public Exchange, public ExpectedBody
 {
 public:
     enum class State {
         Receiving,
-        /** The body is larger than allowed and is read only to be thrown away. */
+        /** The body is larger than allowed and is read only to be discarded. */
         Discarding,
         HandedOver,
         Answered,
@@ -41,28 +41,31 @@
     void proceed() override;
     void refuse(HttpAnswer answer) override;
 
-    /** The caller waits for "100 Continue": the connection is to be suspended until proceed() or refuse(). */
+    /** Holds the body of a caller that waits for "100 Continue". The connection must be suspended until proceed() or
+     * refuse(). */
     void awaitBody(ExchangeHost &to, std::size_t length);
 
-    /** Tells whoever admitted the body that it ended, once. */
+    /** Runs the task of onEnded(), once. */
     void endBody(bool whole);
 
-    /** Hands the whole request over; the connection is to be suspended afterwards if the state is HandedOver. */
+    /** Passes the complete request to the handler. The connection must be suspended afterwards if the state is
+     * HandedOver. */
     void handOver(ExchangeHost &to, const std::function<void(std::shared_ptr<Exchange>)> &handler);
 
-    /** The caller went away: wakes the connection, so that it is closed, and runs the abandoned task. */
+    /** Called when the caller has disconnected: resumes the connection, so that it is closed, and runs the abandoned
+     * task. */
     void abandon();
 
-    /** The server ends: the answer, if one comes, has nowhere to go. */
+    /** Called when libmicrohttpd ends the request or the server is destroyed: a later answer has no effect. */
     void detach();
 
     MHD_Connection *connection = nullptr;
     std::uint64_t connectionId = 0;
     State state = State::Receiving;
     bool suspended = false;
-    /** proceed() or refuse() is still to come. */
+    /** Neither proceed() nor refuse() has been called for the held body. */
     bool bodyHeld = false;
-    /** Suspended before its body; libmicrohttpd calls once more before it reads that. */
+    /** Suspended before its body; libmicrohttpd calls the access handler once more before it reads the body. */
     bool awaitsBody = false;
     bool started = false;
     std::size_t bodyBytes = 0;
@@ -77,7 +80,7 @@
 private:
     void wake();
     ExchangeHost *host = nullptr;
-    /** Counted in the host's requests in progress. */
+    /** Whether the request is counted in the host's inProgress. */
     bool counted = false;
     std::size_t expectedBytes = 0;
 };
--- a/src/net/SocketSet.cpp
+++ b/src/net/SocketSet.cpp
@@ -65,7 +65,7 @@
         }
         const unsigned wanted = found->second.wanted;
         if (wanted == 0) {
-            // A kept connection was closed by its peer, or holds bytes that nobody asked for.
+            // An idle connection was closed by its peer, or has unsolicited bytes to read.
             this->enter(socket, found->second, 0);
             continue;
         }
--- a/src/net/SocketSet.h
+++ b/src/net/SocketSet.h
@@ -9,22 +9,23 @@
 
 /**
  * The sockets of one HttpClient, in an epoll set of their own that the event loop watches as a whole.
- * libcurl starts and ends its interest in a kept connection for each request; telling the kernel each time cost four
- * system calls a request. Here an ended interest is told to the kernel only if the socket then becomes ready.
+ * libcurl starts and ends its interest in a kept connection for each request, and updating epoll each time took four
+ * system calls a request. Here, when the interest in a socket ends, epoll is updated only if the socket becomes ready
+ * afterwards.
  */
 class SocketSet
 {
 public:
-    /** @param ready called on the loop's thread with a socket and what it is ready for */
+    /** @param ready called on the loop's thread with a socket and the events that it is ready for */
     SocketSet(loop::EventLoop &loop, std::function<void(int, loop::Readiness)> ready);
     ~SocketSet();
     SocketSet(const SocketSet &) = delete;
     SocketSet &operator=(const SocketSet &) = delete;
 
-    /** Sets what a socket is watched for; nothing ends the watch. */
+    /** Sets the events that a socket is watched for; none ends the watch. */
     void watch(int socket, loop::Readiness interest);
 
-    /** Forgets a socket that is about to be closed. */
+    /** Removes a socket that is about to be closed. */
     void forget(int socket);
 
 private:
--- a/tests/ExpectedBodyTest.cpp
+++ b/tests/ExpectedBodyTest.cpp
@@ -56,7 +56,7 @@
     CHECK(ended == std::vector<bool>{true});
 }
 
-// Guards against bodies that cross a link only to be refused behind it.
+// Guards against bodies that are sent over a link only to be refused afterwards.
 TEST_CASE("a body is refused before it is sent, at once or after a wait")
 {
     const bool later = GENERATE(false, true);
@@ -86,8 +86,8 @@
     CHECK(next.answer.status == 200);
 }
 
-// Guards against room on the link that stays taken by callers that left while their body was held.
-TEST_CASE("a caller that leaves while its body is held ends the body")
+// Guards against link capacity that stays reserved for callers that disconnected while their body was held.
+TEST_CASE("a caller that disconnects while its body is held ends the body")
 {
     ServerBench<HttpServer> bench;
     bench.listen([&](const std::shared_ptr<Exchange> &exchange) {
@@ -114,7 +114,7 @@
     held->refuse(unavailable());
 }
 
-TEST_CASE("a server that ends with a body held tells its end")
+TEST_CASE("a server that is destroyed while a body is held reports the body as ended")
 {
     ServerBench<HttpServer> bench;
     bench.listen([&](const std::shared_ptr<Exchange> &) {});
@@ -136,8 +136,8 @@
     CHECK(ended == std::vector<bool>{false});
 }
 
-// Guards against a body that grows past its stated length or the server's bound after it was let in.
-TEST_CASE("an announced body that is too large is refused as any other")
+// Guards against a body that exceeds its stated length or the server's bound after it was admitted.
+TEST_CASE("an announced body that is too large is refused like any other")
 {
     ServerBench<HttpServer> bench;
     bool handled = false;
--- a/tests/HttpClientTest.cpp
+++ b/tests/HttpClientTest.cpp
@@ -43,7 +43,7 @@
     return call;
 }
 
-/** Sends calls one after another and collects their results. */
+/** Sends calls one after another and returns their results. */
 std::vector<CallResult> sendInTurn(Bench &bench, std::vector<HttpCall> calls)
 {
     std::vector<CallResult> results;
@@ -64,7 +64,7 @@
 
 } // namespace
 
-TEST_CASE("a request arrives as given, and its answer comes back whole")
+TEST_CASE("a request is sent unchanged, and its complete answer is returned")
 {
     Bench bench;
     std::string seen;
@@ -90,7 +90,7 @@
     CHECK(result.answer.headers == std::vector<Header>{{"Upstream-Load", "0.5"}});
 }
 
-TEST_CASE("a refused connection is provably not sent")
+TEST_CASE("a call whose connection is refused is reported as not sent")
 {
     Bench bench;
     std::string address;
@@ -104,11 +104,11 @@
 }
 
 /*
- * Story: a payment is posted; the peer takes it and dies after any number of bytes of its answer. A user would see
- * half an answer as success, or the payment made twice, because libcurl sends the request again by itself when a
- * reused connection ends without an answer.
+ * Failure: the peer crashes after any number of bytes of its answer. A truncated answer is taken for a complete one, or
+ * a POST is executed twice, because libcurl retries a request by itself when a reused connection closes without an
+ * answer.
  */
-TEST_CASE("an answer cut at any byte is never taken for whole, and its request is sent once")
+TEST_CASE("an answer truncated at any byte is never taken for complete, and its request is sent once")
 {
     const std::string whole = GENERATE(Plain, Chunked);
     const std::string method = GENERATE("POST", "GET");
@@ -124,7 +124,7 @@
                 return;
             }
             connection.send(whole.substr(0, cut));
-            // A reset may overtake the bytes before it, so it comes a little later.
+            // A reset may overtake the bytes before it, so it is sent a little later.
             bench.loop->after(reset ? 1ms : 0ms, [self, reset, number = connection.number] {
                 PeerConnection *open = self->find(number);
                 if (open != nullptr) {
@@ -153,16 +153,16 @@
 }
 
 /*
- * Story: as before, but a second idle connection to the peer is open, so the repetition needs no new one. A user would
- * see the payment made twice.
+ * Failure: as before, but the retry uses a second idle connection to the peer and needs no new one. A POST is executed
+ * twice.
  */
-TEST_CASE("a request is not repeated on another open connection")
+TEST_CASE("a request is not retried on another open connection")
 {
     Bench bench;
     ScriptedPeer *self = nullptr;
     ScriptedPeer peer(*bench.loop, [&](PeerConnection &connection) {
         if (self->requests == 2) {
-            // Both are open now.
+            // Both connections are open now.
             self->find(1)->send(Plain);
             self->find(2)->send(Plain);
         } else if (self->requests > 2) {
@@ -193,10 +193,10 @@
 }
 
 /*
- * Story: a call is given up, by its deadline or by its caller; the peer answers late. A user would see another
- * user's timetable if the connection were used again and the late answer taken for the next call's.
+ * Failure: a call times out or is cancelled, and the peer answers late. If the connection were reused, the late answer
+ * would be taken for the answer to the next call.
  */
-TEST_CASE("a connection with an answer outstanding is never used again")
+TEST_CASE("a connection with an outstanding answer is never reused")
 {
     const bool cancelled = GENERATE(false, true);
     Bench bench;
@@ -244,10 +244,10 @@
 }
 
 /*
- * Story: a peer sends an answer too many on a connection, at once or while the connection lies idle. A user would
- * get the stray answer in place of the own one, and so would everyone after on that connection.
+ * Failure: a peer sends a surplus answer on a connection, at once or while the connection is idle. The next call, and
+ * each one after it on that connection, gets the answer to another call.
  */
-TEST_CASE("a stray answer is never taken for the next call's")
+TEST_CASE("a surplus answer is never taken for the answer to the next call")
 {
     const auto delay = GENERATE(0ms, 1ms, 20ms);
     Bench bench;
@@ -284,10 +284,10 @@
 }
 
 /*
- * Story: a peer sends its answer a byte at a time. A user would see a part of it if any pause were taken for the end;
- * the call's own deadline is the only thing that may cut it.
+ * Failure: a peer sends its answer a byte at a time, and a pause is taken for its end, so the answer is truncated. Only
+ * the call's own deadline may end it early.
  */
-TEST_CASE("an answer that comes a byte at a time is whole, or times out")
+TEST_CASE("an answer sent a byte at a time is complete, or times out")
 {
     const bool inTime = GENERATE(true, false);
     Bench bench;
@@ -311,7 +311,7 @@
     CHECK(result.answer.body == (inTime ? "hello" : ""));
 }
 
-TEST_CASE("an answer without a trustworthy end, or too large, is no answer")
+TEST_CASE("an answer with invalid framing, or too large, is rejected")
 {
     struct Case {
         std::string bytes;
@@ -343,7 +343,7 @@
     CHECK(sendInTurn(bench, {call}).front().outcome == each.outcome);
 }
 
-TEST_CASE("calls beyond the connections to a peer wait, and are provably not sent when their time ends")
+TEST_CASE("calls beyond the maximum of connections to a peer wait, and are reported as not sent when they time out")
 {
     Bench bench;
     bench.client = std::make_unique<HttpClient>(*bench.loop, HttpClientSettings{.maxConnectionsPerPeer = 1});
@@ -368,11 +368,11 @@
 }
 
 /*
- * An upstream answers one request twice, the second time late. The next request on the kept connection reads that
- * answer, and its caller gets what belongs to another. The echo of the request's id tells, and the connection is
- * closed.
+ * Failure: an upstream answers one request twice, the second time late. The next request on the kept connection reads
+ * that answer, and its caller gets the answer to another request. The echoed request id reveals the mismatch, and the
+ * connection is closed.
  */
-TEST_CASE("an answer that echoes another request's id is no answer, and its connection isn't used again")
+TEST_CASE("an answer that echoes another request's id is rejected, and its connection is not reused")
 {
     Bench bench;
     ScriptedPeer peer(*bench.loop, [](PeerConnection &connection) {
@@ -390,7 +390,7 @@
     REQUIRE(peer.accepted == 2);
 }
 
-TEST_CASE("an answer that ends with its connection counts where the peer is known for it, and was not reset")
+TEST_CASE("an answer that ends with its connection is accepted if the call allows it and the connection was not reset")
 {
     Bench bench;
     ScriptedPeer *peers[2] = {nullptr, nullptr};
--- a/tests/HttpServerTest.cpp
+++ b/tests/HttpServerTest.cpp
@@ -15,9 +15,9 @@
 using namespace bergamotweir::net;
 using namespace std::chrono_literals;
 
-// Every test runs against both servers, which promise the same.
+// Every test runs with both servers, which have the same contract.
 
-TEMPLATE_TEST_CASE("the server hands over requests as sent and relays answers given at once or later",
+TEMPLATE_TEST_CASE("the server passes on requests unchanged and sends answers given at once or later",
                    "",
                    HttpServer,
                    PipelineServer)
@@ -54,8 +54,8 @@
 }
 
 /*
- * Story: a caller waits up to a second for an answer that is ready, because a resumed connection makes no event and
- * only the idle sweep finds it. Forty such waits would take longer than the limit of this test.
+ * Failure: a caller waits up to a second for an answer that is ready, because a resumed connection causes no event and
+ * is only found by the periodic sweep. Forty such waits exceed the time limit of this test.
  */
 TEMPLATE_TEST_CASE("an answer given later is sent at once", "", HttpServer, PipelineServer)
 {
@@ -80,10 +80,7 @@
     bench.run();
 }
 
-TEMPLATE_TEST_CASE("a request that comes a byte at a time is handed over once and whole",
-                   "",
-                   HttpServer,
-                   PipelineServer)
+TEMPLATE_TEST_CASE("a request sent a byte at a time is passed on once and complete", "", HttpServer, PipelineServer)
 {
     ServerBench<TestType> bench;
     std::vector<std::string> bodies;
@@ -111,8 +108,8 @@
 }
 
 /*
- * Story: callers open more connections than allowed. A user behind them must be served once one is closed; were the
- * server to forget its listening socket at the limit, nobody would ever be again.
+ * Failure: callers open more connections than allowed, and the server stops watching its listening socket at the limit
+ * for good. The waiting callers must be served when others close.
  */
 TEMPLATE_TEST_CASE("connections beyond the limit wait and are served when others close", "", HttpServer, PipelineServer)
 {
@@ -130,7 +127,7 @@
         bench.loop->watch(sockets[i], {.readable = true}, [&, i](loop::Readiness) {
             answered.push_back(i);
             bench.loop->unwatch(sockets[i]);
-            // The first two keep their connections open until both were answered.
+            // The first two keep their connections open until both have been answered.
             if (answered.size() >= 2) {
                 for (const std::size_t done : answered) {
                     close(std::exchange(sockets[done], -1));
@@ -143,7 +140,7 @@
     CHECK(answered.size() == 6);
 }
 
-TEMPLATE_TEST_CASE("an answer to HEAD states the length of the body it leaves out", "", HttpServer, PipelineServer)
+TEMPLATE_TEST_CASE("an answer to HEAD states the length of the omitted body", "", HttpServer, PipelineServer)
 {
     ServerBench<TestType> bench;
     bench.listen([&](const std::shared_ptr<Exchange> &exchange) {
@@ -155,7 +152,7 @@
     CHECK(*findHeader(result.answer.headers, "Content-Length") == "12345");
 }
 
-TEMPLATE_TEST_CASE("too large headers and bodies are refused as problems and never handed over",
+TEMPLATE_TEST_CASE("headers and bodies that are too large are refused with a problem answer and never passed on",
                    "",
                    HttpServer,
                    PipelineServer)
@@ -183,7 +180,7 @@
     CHECK(handed == 0);
 }
 
-TEMPLATE_TEST_CASE("a chunked body without end is bounded", "", HttpServer, PipelineServer)
+TEMPLATE_TEST_CASE("an endless chunked body is bounded", "", HttpServer, PipelineServer)
 {
     ServerBench<TestType> bench;
     int handed = 0;
@@ -206,10 +203,10 @@
 }
 
 /*
- * Story: someone points a port scanner at the port. A user would see the whole agent gone. Whatever comes, the
- * server closes that connection alone and answers the next request.
+ * Failure: a port scanner sends garbage, and the whole agent crashes. The server must close only that connection and
+ * answer the next request.
  */
-TEMPLATE_TEST_CASE("garbage never makes the server fall", "", HttpServer, PipelineServer)
+TEMPLATE_TEST_CASE("garbage never crashes the server", "", HttpServer, PipelineServer)
 {
     constexpr std::uint64_t Seed = 20261202;
     pcg32 random(Seed);
@@ -237,10 +234,10 @@
 }
 
 /*
- * Story: a learner closes the browser while a slow lookup runs. Without notice the upstream's slot stays taken for
- * nobody; with many such callers the next ones wait behind dead work.
+ * Failure: a caller disconnects during a slow request, and the server does not notice. The request keeps its share of
+ * the upstream's concurrency, and other callers wait behind it.
  */
-TEMPLATE_TEST_CASE("a caller that goes away before the answer is noticed once", "", HttpServer, PipelineServer)
+TEMPLATE_TEST_CASE("a caller that disconnects before the answer is reported once", "", HttpServer, PipelineServer)
 {
     ServerBench<TestType> bench;
     int abandoned = 0;
@@ -269,7 +266,7 @@
     kept->answer(textAnswer("too late"));
 }
 
-TEMPLATE_TEST_CASE("the server can end with answers outstanding", "", HttpServer, PipelineServer)
+TEMPLATE_TEST_CASE("the server can be destroyed with answers outstanding", "", HttpServer, PipelineServer)
 {
     ServerBench<TestType> bench;
     std::shared_ptr<Exchange> kept;
@@ -285,7 +282,7 @@
     CHECK(result.mayHaveRun);
 }
 
-TEMPLATE_TEST_CASE("after stopAccepting open connections end with their answer and new ones are refused",
+TEMPLATE_TEST_CASE("after stopAccepting open connections are closed after their answer and new ones are refused",
                    "",
                    HttpServer,
                    PipelineServer)
@@ -312,10 +309,10 @@
 }
 
 /*
- * An agent is stopped and closes its idle connections. A caller sends a request on one of them at that very moment. It
- * is handed over, passed on and run, and then its connection is seen to be closed: work lost by a planned stop.
+ * Failure: an agent stops and closes its idle connections while a caller sends a request on one of them. The request
+ * runs, and its answer is lost because the connection is closed.
  */
-TEMPLATE_TEST_CASE("a request that crosses the closing of its idle connection is not handed over",
+TEMPLATE_TEST_CASE("a request that crosses the closing of its idle connection is not passed on",
                    "",
                    HttpServer,
                    PipelineServer)
--- a/tests/PipelineServerTest.cpp
+++ b/tests/PipelineServerTest.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/** Sends @p bytes and reads until @p enough of what came back. */
+/** Sends @p bytes and reads until @p enough returns true for what was received, or the connection is closed. */
 std::string talk(ServerBench<PipelineServer> &bench,
                  const std::string &bytes,
                  const std::function<bool(const std::string &)> &enough)
@@ -50,17 +50,17 @@
 } // namespace
 
 /*
- * Story: a learner's page asks for three timetables on one connection without waiting. Each takes half a target's time;
- * worked on one after the other, the second and the third are late though every upstream is idle.
+ * Failure: a caller pipelines three reads on one connection, and each takes half of the target time. Processed one
+ * after the other, the second and the third are late although every upstream is idle.
  */
-TEST_CASE("safe requests sent ahead are worked on side by side and answered in their order")
+TEST_CASE("pipelined safe requests are processed concurrently and answered in their order")
 {
     ServerBench<PipelineServer> bench;
     std::vector<std::shared_ptr<Exchange>> held;
     bench.listen([&](const std::shared_ptr<Exchange> &exchange) {
         held.push_back(exchange);
         if (held.size() == 3) {
-            // The last one is ready first and has to wait for the others' answers.
+            // The last one is answered first and must wait for the other answers.
             for (const std::size_t index : {2U, 0U, 1U}) {
                 held[index]->answer(textAnswer("for " + held[index]->request().target));
             }
@@ -76,10 +76,10 @@
 }
 
 /*
- * Story: a caller sends an order and, without waiting, the question what became of it. Worked on side by side, the
- * question may be answered from before the order.
+ * Failure: a caller pipelines an order and a read of its state. Processed concurrently, the read may return the state
+ * from before the order.
  */
-TEST_CASE("a request with effects waits for those before it and holds up those behind it")
+TEST_CASE("an unsafe request waits for those before it and delays those behind it")
 {
     ServerBench<PipelineServer> bench;
     std::vector<std::string> begun;
@@ -99,10 +99,11 @@
 }
 
 /*
- * Story: an agent stops while a caller has sent three requests ahead. What stands behind an answer that closes its
- * connection is sent again by its caller, so it must not have been handed over.
+ * Failure: an agent stops while three pipelined requests are in flight. The caller retries the requests behind an
+ * answer that closes the connection, so any of them that was passed to the handler runs twice.
  */
-TEST_CASE("a stop answers what was handed over, closes with the last of it, and drops what waits behind")
+TEST_CASE("a stop answers the requests in progress, closes the connection after the last of them, and drops those "
+          "waiting behind")
 {
     ServerBench<PipelineServer> bench;
     std::vector<std::string> begun;
@@ -125,10 +126,10 @@
 }
 
 /*
- * Story: a caller with three requests under way closes its connection. Each of them must be told, or two go on at
- * their upstreams for nobody.
+ * Failure: a caller with three requests in flight disconnects. Each of them must be notified, or two continue at their
+ * upstreams although their answers cannot be delivered.
  */
-TEST_CASE("a caller that goes away is noticed by every request it had sent ahead")
+TEST_CASE("a caller that disconnects abandons each of its pipelined requests")
 {
     ServerBench<PipelineServer> bench;
     int gone = 0;
@@ -154,10 +155,10 @@
 }
 
 /*
- * Story: somebody hides a request within another by stating two framings. Read one way here and another way at the
- * upstream, it would run there though no caller sent it.
+ * Failure: request smuggling. A request with two framings hides another one. If it is parsed differently here and at
+ * the upstream, the hidden request runs there although no caller sent it.
  */
-TEST_CASE("messages with two framings are refused and end their connection")
+TEST_CASE("messages with ambiguous framing are refused and their connection is closed")
 {
     const std::string fields = GENERATE("Content-Length: 4\r\nTransfer-Encoding: chunked\r\n",
                                         "Content-Length: 4\r\nContent-Length: 5\r\n",
@@ -180,7 +181,7 @@
     CHECK(handed == 0);
 }
 
-TEST_CASE("a caller who waits for it is told to go on with its body, in its turn")
+TEST_CASE("100 Continue is sent after the answers to earlier requests")
 {
     ServerBench<PipelineServer> bench;
     bench.listen([&](const std::shared_ptr<Exchange> &exchange) {
@@ -195,7 +196,7 @@
     CHECK(seen.find("for /before") < seen.find("100 Continue"));
 }
 
-TEST_CASE("a flood of requests sent ahead is served in bounded steps")
+TEST_CASE("the number of pipelined requests in progress is bounded")
 {
     ServerBench<PipelineServer> bench;
     constexpr std::size_t Sent = 500;
--- a/tests/ScriptedPeer.h
+++ b/tests/ScriptedPeer.h
@@ -24,7 +24,7 @@
         [[maybe_unused]] const auto sent = ::send(this->socket, bytes.data(), bytes.size(), MSG_NOSIGNAL);
     }
 
-    /** @return how many whole header blocks have been received */
+    /** @return number of complete header blocks received */
     int requests() const
     {
         int count = 0;
@@ -35,7 +35,7 @@
     }
 };
 
-/** A TCP server on the test's loop that sends exactly the bytes a test wants and closes where it wants. */
+/** A TCP server on the test's loop that sends exactly the bytes of the test's script and closes when told to. */
 class ScriptedPeer
 {
 public:
@@ -74,7 +74,7 @@
         return "127.0.0.1:" + std::to_string(this->port);
     }
 
-    /** Closes a connection; the reference is invalid afterwards. @param reset with RST rather than FIN */
+    /** Closes a connection; the reference is invalid afterwards. @param reset whether to send RST in place of FIN */
     void close(PeerConnection &connection, bool reset = false)
     {
         const int socket = connection.socket;
--- a/tests/ServerBench.h
+++ b/tests/ServerBench.h
@@ -14,7 +14,7 @@
 
 namespace bergamotweir::net {
 
-/** A server, a client and the loop that both run on. */
+/** A server, a client and the event loop that both run on. */
 template<typename Server>
 struct ServerBench {
     std::unique_ptr<loop::EventLoop> loop = loop::EventLoop::create().value();
--- a/tests/SilentListener.h
+++ b/tests/SilentListener.h
@@ -10,7 +10,7 @@
 
 namespace bergamotweir::test {
 
-/** A port on loopback where connections are taken by the kernel and nobody reads them. */
+/** A port on loopback where the kernel completes connections, but none is accepted or read. */
 class SilentListener
 {
 public:
