--- a/include/net/ExpectedBody.h
+++ b/include/net/ExpectedBody.h
@@ -33,8 +33,10 @@
      * disconnected. */
     virtual void refuse(HttpAnswer answer) = 0;
 
-    /** Sets the task that runs once: with true when the whole body was read, with false when the request ended before
-     * that, for example because the caller disconnected. */
+    /**
+     * Sets the task that runs once: with true when the whole body was read, with false when the request ended before
+     * that, for example because the caller disconnected.
+     */
     void onEnded(std::function<void(bool whole)> task)
     {
         this->endedTask = std::move(task);
--- a/include/net/HttpCall.h
+++ b/include/net/HttpCall.h
@@ -22,8 +22,10 @@
     std::chrono::nanoseconds connectTimeout = std::chrono::milliseconds(300);
     /** Maximum size of the answer's body in bytes; a larger one ends the call as TooLarge. */
     std::size_t maxAnswerBytes = 1024UL * 1024;
-    /** A field that the answer may echo. An answer that has it with another value belongs to another request. An empty
-     * name disables the check. */
+    /**
+     * A field that the answer may echo. An answer that has it with another value belongs to another request. An empty
+     * name disables the check.
+     */
     Header expectedEcho;
     /** Whether an answer without a stated length is complete when its connection is closed in order (no reset). */
     bool readUntilClose = false;
--- a/include/net/PipelineServer.h
+++ b/include/net/PipelineServer.h
@@ -39,8 +39,10 @@
     /** @return the port bound to */
     std::uint16_t port() const;
 
-    /** @return number of requests passed to the handler that have not ended; a request counts until the last byte of
-     * its answer is written */
+    /**
+     * @return number of requests passed to the handler that have not ended; a request counts until the last byte of
+     * its answer is written
+     */
     std::size_t inProgress() const;
 
     /** Closes the listening socket; each open connection is closed after its last outstanding answer. */
--- a/src/net/AnswerText.cpp
+++ b/src/net/AnswerText.cpp
@@ -11,31 +11,32 @@
 
 namespace {
 
-constexpr int LowestFinalStatus = 200;
-constexpr int HighestStatus = 999;
+constexpr int MinFinalStatus = 200;
+constexpr int MaxStatus = 999;
 constexpr int NoContent = 204;
 constexpr int NotModified = 304;
 /** Reserved for the status line and the fields that are added here, and for each header field. */
 constexpr std::size_t FramingBytes = 128;
 
 /** @return whether answers of this status never have a body */
-bool isBodiless(int status)
+bool hasNoBody(int status)
 {
     return status == NoContent || status == NotModified;
 }
 
-/** Guards against response splitting: a line end within a field would let the sender of the field add a second answer.
+/**
+ * Guards against response splitting: a line end within a field would let the sender of the field add a second answer.
  */
-bool isOneLine(const Header &header)
+bool hasNoLineEnd(const Header &header)
 {
     constexpr std::string_view LineEnds("\r\n\0", 3);
     return header.name.find_first_of(LineEnds) == std::string::npos
            && header.value.find_first_of(LineEnds) == std::string::npos;
 }
 
-std::size_t lengthOf(const HttpAnswer &answer, bool head)
+std::size_t contentLengthOf(const HttpAnswer &answer, bool isHead)
 {
-    const std::string *stated = head ? findHeader(answer.headers, "Content-Length") : nullptr;
+    const std::string *stated = isHead ? findHeader(answer.headers, "Content-Length") : nullptr;
     std::size_t length = answer.body.size();
     if (stated != nullptr) {
         std::from_chars(stated->data(), stated->data() + stated->size(), length);
@@ -43,7 +44,7 @@
     return length;
 }
 
-void addField(std::string &text, std::string_view name, std::string_view value)
+void appendField(std::string &text, std::string_view name, std::string_view value)
 {
     text += name;
     text += ": ";
@@ -55,7 +56,7 @@
 
 std::string answerText(const HttpAnswer &answer, AnswerFraming framing)
 {
-    if (answer.status < LowestFinalStatus || answer.status > HighestStatus) {
+    if (answer.status < MinFinalStatus || answer.status > MaxStatus) {
         return answerText(problem(502, "Bad answer", "The answer had no final status.", RequestRan::Unknown), framing);
     }
     std::string text;
@@ -64,18 +65,18 @@
     text += http_status_str(static_cast<http_status>(answer.status));
     text += "\r\n";
     for (const Header &header : answer.headers) {
-        if (!isConnectionHeader(header.name) && isOneLine(header)) {
-            addField(text, header.name, header.value);
+        if (!isConnectionHeader(header.name) && hasNoLineEnd(header)) {
+            appendField(text, header.name, header.value);
         }
     }
-    if (!isBodiless(answer.status)) {
-        addField(text, "Content-Length", std::to_string(lengthOf(answer, framing.head)));
+    if (!hasNoBody(answer.status)) {
+        appendField(text, "Content-Length", std::to_string(contentLengthOf(answer, framing.isHead)));
     }
-    if (framing.closes) {
-        addField(text, "Connection", "close");
+    if (framing.closesConnection) {
+        appendField(text, "Connection", "close");
     }
     text += "\r\n";
-    if (!framing.head && !isBodiless(answer.status)) {
+    if (!framing.isHead && !hasNoBody(answer.status)) {
         text += answer.body;
     }
     return text;
--- a/src/net/AnswerText.h
+++ b/src/net/AnswerText.h
@@ -9,9 +9,9 @@
 /** Properties of the request and the connection that the framing of an answer depends on. */
 struct AnswerFraming {
     /** The request was a HEAD: the answer states the length of the body that GET would return, and has no body. */
-    bool head = false;
+    bool isHead = false;
     /** The connection is closed after the answer. */
-    bool closes = false;
+    bool closesConnection = false;
 };
 
 /**
--- a/src/net/ClientCall.cpp
+++ b/src/net/ClientCall.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 constexpr std::size_t MaxAnswerHeaderBytes = 64UL * 1024;
-constexpr int LowestFinalStatus = 200;
+constexpr int MinFinalStatus = 200;
 constexpr int NoContent = 204;
 constexpr int NotModified = 304;
 
@@ -54,7 +54,7 @@
  * so the next caller, and each one after it on that connection, gets the answer to another caller's request.
  * A connection with anything to read before the request is sent is therefore not used.
  */
-bool isQuiet(int socket)
+bool hasNothingToRead(int socket)
 {
     char byte = 0;
     return recv(socket, &byte, 1, MSG_PEEK | MSG_DONTWAIT) < 0 && errno == EAGAIN;
@@ -72,10 +72,10 @@
     if (call.sent) {
         return CURL_PREREQFUNC_ABORT;
     }
-    if (call.opened != -1) {
-        call.sockets->add(call.call.address, localPort, call.opened);
+    if (call.openedSocket != -1) {
+        call.sockets->add(call.call.address, localPort, call.openedSocket);
     }
-    call.staleConnection = !isQuiet(call.sockets->find(call.call.address, localPort));
+    call.staleConnection = !hasNothingToRead(call.sockets->find(call.call.address, localPort));
     if (call.staleConnection) {
         return CURL_PREREQFUNC_ABORT;
     }
@@ -90,8 +90,8 @@
     if (call.sent) {
         return CURL_SOCKET_BAD;
     }
-    call.opened = socket(address->family, address->socktype | SOCK_CLOEXEC, address->protocol);
-    return call.opened;
+    call.openedSocket = socket(address->family, address->socktype | SOCK_CLOEXEC, address->protocol);
+    return call.openedSocket;
 }
 
 int closeSocket(void *sockets, curl_socket_t socket)
@@ -104,7 +104,7 @@
  * Failure: an upstream answers a request twice, or late, on a connection that is kept open. A caller then gets the
  * answer to another caller's request. The request id that the answer echoes reveals the mismatch.
  */
-bool isForeign(const ClientCall &call)
+bool echoesOtherRequest(const ClientCall &call)
 {
     if (call.call.expectedEcho.name.empty()) {
         return false;
@@ -118,7 +118,7 @@
     auto &call = *static_cast<ClientCall *>(user);
     call.headerBytes += size;
     if (call.headerBytes > MaxAnswerHeaderBytes) {
-        call.tooLarge = true;
+        call.answerTooLarge = true;
         return 0;
     }
     if (call.headerComplete) {
@@ -134,10 +134,10 @@
         long status = 0;
         curl_easy_getinfo(call.easy, CURLINFO_RESPONSE_CODE, &status);
         call.answer.status = static_cast<int>(status);
-        call.headerComplete = status >= LowestFinalStatus;
-        call.foreign = call.headerComplete && isForeign(call);
+        call.headerComplete = status >= MinFinalStatus;
+        call.hasForeignEcho = call.headerComplete && echoesOtherRequest(call);
         // 0 makes libcurl close the connection: later answers on it would belong to other requests as well.
-        return call.foreign ? 0 : size;
+        return call.hasForeignEcho ? 0 : size;
     }
     const std::size_t colon = line.find(':');
     if (colon != std::string_view::npos) {
@@ -151,7 +151,7 @@
 {
     auto &call = *static_cast<ClientCall *>(user);
     if (call.answer.body.size() + size > call.call.maxAnswerBytes) {
-        call.tooLarge = true;
+        call.answerTooLarge = true;
         return 0;
     }
     call.answer.body.append(data, size);
@@ -163,15 +163,15 @@
     return std::max<long>(1, std::chrono::ceil<std::chrono::milliseconds>(time).count());
 }
 
-void prepareMethod(const ClientCall &call)
+void setMethodOptions(const ClientCall &call)
 {
     const HttpCall &http = call.call;
-    const bool mayLackBody = http.method == "GET" || http.method == "OPTIONS" || http.method == "DELETE";
+    const bool canOmitBody = http.method == "GET" || http.method == "OPTIONS" || http.method == "DELETE";
     if (http.method == "HEAD") {
         curl_easy_setopt(call.easy, CURLOPT_NOBODY, 1L);
         return;
     }
-    if (!http.body.empty() || !mayLackBody) {
+    if (!http.body.empty() || !canOmitBody) {
         curl_easy_setopt(call.easy, CURLOPT_POSTFIELDSIZE_LARGE, static_cast<curl_off_t>(http.body.size()));
         curl_easy_setopt(call.easy, CURLOPT_POSTFIELDS, http.body.data());
     }
@@ -229,9 +229,9 @@
     return chunked != (length != nullptr);
 }
 
-CallOutcome endOf(const ClientCall &call, CURLcode code)
+CallOutcome outcomeOf(const ClientCall &call, CURLcode code)
 {
-    if (call.tooLarge) {
+    if (call.answerTooLarge) {
         return CallOutcome::TooLarge;
     }
     if (!call.sent) {
@@ -240,7 +240,7 @@
     if (code == CURLE_OPERATION_TIMEDOUT) {
         return CallOutcome::TimedOut;
     }
-    if (!call.headerComplete || call.foreign) {
+    if (!call.headerComplete || call.hasForeignEcho) {
         return CallOutcome::ConnectionLost;
     }
     return code == CURLE_OK && isFramed(call) ? CallOutcome::Answered : CallOutcome::TruncatedAnswer;
@@ -250,12 +250,13 @@
 
 void setTimeouts(const ClientCall &call)
 {
-    const auto left = call.call.timeout - (BootClock::now() - call.begun);
-    curl_easy_setopt(call.easy, CURLOPT_TIMEOUT_MS, toMilliseconds(left));
-    curl_easy_setopt(call.easy, CURLOPT_CONNECTTIMEOUT_MS, toMilliseconds(std::min(call.call.connectTimeout, left)));
+    const auto remaining = call.call.timeout - (BootClock::now() - call.startedAt);
+    curl_easy_setopt(call.easy, CURLOPT_TIMEOUT_MS, toMilliseconds(remaining));
+    curl_easy_setopt(
+        call.easy, CURLOPT_CONNECTTIMEOUT_MS, toMilliseconds(std::min(call.call.connectTimeout, remaining)));
 }
 
-void prepare(ClientCall &call)
+void setOptions(ClientCall &call)
 {
     const HttpCall &http = call.call;
     CURL *easy = call.easy;
@@ -284,17 +285,17 @@
         curl_easy_setopt(easy, CURLOPT_FRESH_CONNECT, 1L);
         curl_easy_setopt(easy, CURLOPT_FORBID_REUSE, 1L);
     }
-    prepareMethod(call);
+    setMethodOptions(call);
     call.headers = headerList(http);
     curl_easy_setopt(easy, CURLOPT_HTTPHEADER, call.headers);
 }
 
-CallResult conclude(ClientCall &call, CURLcode code)
+CallResult takeResult(ClientCall &call, CURLcode code)
 {
     CallResult result;
-    result.outcome = endOf(call, code);
+    result.outcome = outcomeOf(call, code);
     result.mayHaveRun = call.sent;
-    result.elapsed = BootClock::now() - call.begun;
+    result.elapsed = BootClock::now() - call.startedAt;
     if (result.outcome == CallOutcome::Answered) {
         const bool head = call.call.method == "HEAD";
         std::erase_if(call.answer.headers, [&](const Header &header) {
--- a/src/net/ClientCall.h
+++ b/src/net/ClientCall.h
@@ -17,7 +17,7 @@
     CallId id = 0;
     HttpCall call;
     HttpClient::Done done;
-    BootTime begun;
+    BootTime startedAt;
     /** Null while the call waits for a connection. */
     CURL *easy = nullptr;
     /** Times out a call that waits for a connection; 0 after the call was started. */
@@ -26,7 +26,7 @@
     /** Owned by the client; outlives the call. */
     ConnectionSockets *sockets = nullptr;
     /** The socket opened for this call, or -1. */
-    int opened = -1;
+    int openedSocket = -1;
 
     /** libcurl has started to write the request. */
     bool sent = false;
@@ -34,9 +34,9 @@
     bool staleConnection = false;
     /** The empty line after the header fields of a final status was read. */
     bool headerComplete = false;
-    bool tooLarge = false;
+    bool answerTooLarge = false;
     /** The answer echoes the id of another request. */
-    bool foreign = false;
+    bool hasForeignEcho = false;
     HttpAnswer answer;
     std::size_t headerBytes = 0;
 };
@@ -45,7 +45,7 @@
  * Sets all options of a call on its easy handle.
  * @param call the call; its easy handle is new or was reset
  */
-void prepare(ClientCall &call);
+void setOptions(ClientCall &call);
 
 /** Sets the time-outs of a call's handle to the time until its deadline, at least a millisecond. */
 void setTimeouts(const ClientCall &call);
@@ -56,6 +56,6 @@
  * @param code libcurl's result of the transfer
  * @return the result; moves the answer out of the call
  */
-CallResult conclude(ClientCall &call, CURLcode code);
+CallResult takeResult(ClientCall &call, CURLcode code);
 
 } // namespace bergamotweir::net
--- a/src/net/ConnectionSockets.cpp
+++ b/src/net/ConnectionSockets.cpp
@@ -2,47 +2,47 @@
 
 namespace bergamotweir::net {
 
-static std::string nameOf(const std::string &address, int localPort)
+static std::string connectionKey(const std::string &address, int localPort)
 {
     return address + "/" + std::to_string(localPort);
 }
 
-ConnectionSockets::ConnectionSockets(std::function<void(int)> closing)
-    : closing(std::move(closing))
+ConnectionSockets::ConnectionSockets(std::function<void(int)> onClose)
+    : onClose(std::move(onClose))
 {
 }
 
 void ConnectionSockets::add(const std::string &address, int localPort, int socket)
 {
-    ++this->count;
-    std::string name = nameOf(address, localPort);
-    this->sockets[name] = socket;
-    this->names[socket] = std::move(name);
+    ++this->addedCount;
+    std::string key = connectionKey(address, localPort);
+    this->socketsByKey[key] = socket;
+    this->keysBySocket[socket] = std::move(key);
 }
 
-std::uint64_t ConnectionSockets::added() const
+std::uint64_t ConnectionSockets::addedTotal() const
 {
-    return this->count;
+    return this->addedCount;
 }
 
 int ConnectionSockets::find(const std::string &address, int localPort) const
 {
-    const auto found = this->sockets.find(nameOf(address, localPort));
-    return found == this->sockets.end() ? -1 : found->second;
+    const auto found = this->socketsByKey.find(connectionKey(address, localPort));
+    return found == this->socketsByKey.end() ? -1 : found->second;
 }
 
 void ConnectionSockets::remove(int socket)
 {
-    this->closing(socket);
-    const auto found = this->names.find(socket);
-    if (found == this->names.end()) {
+    this->onClose(socket);
+    const auto found = this->keysBySocket.find(socket);
+    if (found == this->keysBySocket.end()) {
         return;
     }
-    const auto named = this->sockets.find(found->second);
-    if (named != this->sockets.end() && named->second == socket) {
-        this->sockets.erase(named);
+    const auto entry = this->socketsByKey.find(found->second);
+    if (entry != this->socketsByKey.end() && entry->second == socket) {
+        this->socketsByKey.erase(entry);
     }
-    this->names.erase(found);
+    this->keysBySocket.erase(found);
 }
 
 } // namespace bergamotweir::net
--- a/src/net/ConnectionSockets.h
+++ b/src/net/ConnectionSockets.h
@@ -16,7 +16,7 @@
 {
 public:
     /** @param closing called with each socket that is about to be closed */
-    explicit ConnectionSockets(std::function<void(int)> closing);
+    explicit ConnectionSockets(std::function<void(int)> onClose);
 
     /**
      * Adds an open connection.
@@ -30,16 +30,16 @@
     int find(const std::string &address, int localPort) const;
 
     /** @return number of connections added since the start */
-    std::uint64_t added() const;
+    std::uint64_t addedTotal() const;
 
     /** Removes a descriptor that is about to be closed. */
     void remove(int socket);
 
 private:
-    std::function<void(int)> closing;
-    std::uint64_t count = 0;
-    std::unordered_map<std::string, int> sockets;
-    std::unordered_map<int, std::string> names;
+    std::function<void(int)> onClose;
+    std::uint64_t addedCount = 0;
+    std::unordered_map<std::string, int> socketsByKey;
+    std::unordered_map<int, std::string> keysBySocket;
 };
 
 } // namespace bergamotweir::net
--- a/src/net/Header.cpp
+++ b/src/net/Header.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-bool sameName(std::string_view left, std::string_view right)
+bool equalsIgnoringCase(std::string_view left, std::string_view right)
 {
     return left.size() == right.size() && strncasecmp(left.data(), right.data(), left.size()) == 0;
 }
@@ -30,7 +30,7 @@
 const std::string *findHeader(const std::vector<Header> &headers, std::string_view name)
 {
     const auto found = std::find_if(headers.begin(), headers.end(), [&](const Header &header) {
-        return sameName(header.name, name);
+        return equalsIgnoringCase(header.name, name);
     });
     return found == headers.end() ? nullptr : &found->value;
 }
@@ -38,7 +38,7 @@
 bool isConnectionHeader(std::string_view name)
 {
     return std::any_of(ConnectionHeaders.begin(), ConnectionHeaders.end(), [&](std::string_view header) {
-        return sameName(header, name);
+        return equalsIgnoringCase(header, name);
     });
 }
 
--- a/src/net/HttpClient.cpp
+++ b/src/net/HttpClient.cpp
@@ -16,9 +16,9 @@
 namespace {
 
 /** Handles kept for later calls; creating one takes several microseconds. */
-constexpr std::size_t MaxSpareHandles = 256;
+constexpr std::size_t MaxIdleHandles = 256;
 
-void initialiseOnce()
+void initializeCurlOnce()
 {
     static std::once_flag once;
     std::call_once(once, [] {
@@ -27,8 +27,8 @@
 }
 
 /** The calls to one peer: how many use a connection, and which ones wait for one. */
-struct Peer {
-    unsigned started = 0;
+struct PeerCalls {
+    unsigned activeCalls = 0;
     std::deque<CallId> waiting;
 };
 
@@ -37,62 +37,62 @@
 struct HttpClient::Parts {
     loop::EventLoop &loop;
     HttpClientSettings settings;
-    SocketSet polled;
+    SocketSet watchedSockets;
     ConnectionSockets sockets;
     CURLM *multi = nullptr;
     std::unordered_map<CallId, std::unique_ptr<ClientCall>> calls;
-    std::vector<CURL *> spareHandles;
-    std::unordered_map<std::string, Peer> peers;
-    std::size_t started = 0;
+    std::vector<CURL *> idleHandles;
+    std::unordered_map<std::string, PeerCalls> peers;
+    std::size_t activeCalls = 0;
     /** Cancelled calls whose callback has not been called yet. */
     std::vector<std::unique_ptr<ClientCall>> cancelled;
-    CallId lastCall = 0;
+    CallId lastCallId = 0;
     /** Destroyed with the client; posted tasks check it before they use the client. */
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
-    bool collecting = false;
-    bool collectPosted = false;
+    bool isDelivering = false;
+    bool isDeliveryPosted = false;
 
     loop::TimerId timer = 0;
     BootTime timerAt;
     /** When libcurl has to be called; may be later than the timer. */
-    BootTime wanted;
-    bool wants = false;
+    BootTime libcurlDeadline;
+    bool hasLibcurlDeadline = false;
 
     Parts(loop::EventLoop &loop, const HttpClientSettings &settings)
         : loop(loop)
         , settings(settings)
-        , polled(loop,
-                 [this](int socket, loop::Readiness ready) {
-                     this->onReady(socket, ready);
-                 })
+        , watchedSockets(loop,
+                         [this](int socket, loop::Readiness ready) {
+                             this->onReady(socket, ready);
+                         })
         , sockets([this](int socket) {
-            this->polled.forget(socket);
+            this->watchedSockets.remove(socket);
         })
     {
     }
 
-    void open();
-    void act(curl_socket_t socket, int events);
+    void createMulti();
+    void runSocketAction(curl_socket_t socket, int events);
     void watch(curl_socket_t socket, int what);
     void onReady(curl_socket_t socket, loop::Readiness ready);
-    void wantTimer(long milliseconds);
-    void arm();
-    void collect();
-    bool collectEnded();
-    bool collectCancelled();
-    void collectSoon();
+    void setLibcurlTimeout(long milliseconds);
+    void armTimer();
+    void deliverResults();
+    bool deliverEnded();
+    bool deliverCancelled();
+    void deliverSoon();
     void finish(ClientCall &call, CURLcode code);
-    bool sendFresh(ClientCall &call);
+    bool retryOnNewConnection(ClientCall &call);
     void start(ClientCall &call);
-    void wait(ClientCall &call);
+    void enqueue(ClientCall &call);
     void startNext(const std::string &address);
     void release(ClientCall &call);
     CURL *takeHandle();
 };
 
-void HttpClient::Parts::open()
+void HttpClient::Parts::createMulti()
 {
-    initialiseOnce();
+    initializeCurlOnce();
     this->multi = curl_multi_init();
     assert(this->multi != nullptr);
     const auto onSocket = [](CURL *, curl_socket_t socket, int what, void *parts, void *) -> int {
@@ -100,7 +100,7 @@
         return 0;
     };
     const auto onTimer = [](CURLM *, long milliseconds, void *parts) -> int {
-        static_cast<Parts *>(parts)->wantTimer(milliseconds);
+        static_cast<Parts *>(parts)->setLibcurlTimeout(milliseconds);
         return 0;
     };
     curl_multi_setopt(this->multi, CURLMOPT_SOCKETFUNCTION, static_cast<curl_socket_callback>(onSocket));
@@ -113,59 +113,59 @@
         this->multi, CURLMOPT_MAX_HOST_CONNECTIONS, static_cast<long>(this->settings.maxConnectionsPerPeer));
 }
 
-void HttpClient::Parts::act(curl_socket_t socket, int events)
+void HttpClient::Parts::runSocketAction(curl_socket_t socket, int events)
 {
     int running = 0;
     curl_multi_socket_action(this->multi, socket, events, &running);
-    this->arm();
+    this->armTimer();
 }
 
 void HttpClient::Parts::watch(curl_socket_t socket, int what)
 {
     const bool ended = what == CURL_POLL_REMOVE;
-    this->polled.watch(
+    this->watchedSockets.watch(
         socket, {.readable = !ended && (what & CURL_POLL_IN) != 0, .writable = !ended && (what & CURL_POLL_OUT) != 0});
 }
 
 void HttpClient::Parts::onReady(curl_socket_t socket, loop::Readiness ready)
 {
     const int events = (ready.readable ? CURL_CSELECT_IN : 0) | (ready.writable ? CURL_CSELECT_OUT : 0);
-    this->act(socket, events);
-    this->collect();
+    this->runSocketAction(socket, events);
+    this->deliverResults();
 }
 
-void HttpClient::Parts::wantTimer(long milliseconds)
+void HttpClient::Parts::setLibcurlTimeout(long milliseconds)
 {
-    this->wants = milliseconds >= 0;
-    if (this->wants) {
-        this->wanted = BootClock::now() + std::chrono::milliseconds(milliseconds);
+    this->hasLibcurlDeadline = milliseconds >= 0;
+    if (this->hasLibcurlDeadline) {
+        this->libcurlDeadline = BootClock::now() + std::chrono::milliseconds(milliseconds);
     }
 }
 
 /** Arms the timer. Deadlines mostly move later, so a timer that expires early enough is kept and then armed again. */
-void HttpClient::Parts::arm()
+void HttpClient::Parts::armTimer()
 {
-    if (!this->wants || (this->timer != 0 && this->timerAt <= this->wanted)) {
+    if (!this->hasLibcurlDeadline || (this->timer != 0 && this->timerAt <= this->libcurlDeadline)) {
         return;
     }
     this->loop.cancel(this->timer);
-    this->timerAt = this->wanted;
-    this->timer = this->loop.after(this->wanted - BootClock::now(), [this] {
+    this->timerAt = this->libcurlDeadline;
+    this->timer = this->loop.after(this->libcurlDeadline - BootClock::now(), [this] {
         this->timer = 0;
-        if (this->wants && BootClock::now() >= this->wanted) {
-            this->wants = false;
-            this->act(CURL_SOCKET_TIMEOUT, 0);
-            this->collect();
+        if (this->hasLibcurlDeadline && BootClock::now() >= this->libcurlDeadline) {
+            this->hasLibcurlDeadline = false;
+            this->runSocketAction(CURL_SOCKET_TIMEOUT, 0);
+            this->deliverResults();
         } else {
-            this->arm();
+            this->armTimer();
         }
     });
 }
 
-bool HttpClient::Parts::collectEnded()
+bool HttpClient::Parts::deliverEnded()
 {
-    int left = 0;
-    const CURLMsg *message = curl_multi_info_read(this->multi, &left);
+    int messagesLeft = 0;
+    const CURLMsg *message = curl_multi_info_read(this->multi, &messagesLeft);
     if (message == nullptr) {
         return false;
     }
@@ -176,7 +176,7 @@
     return true;
 }
 
-bool HttpClient::Parts::collectCancelled()
+bool HttpClient::Parts::deliverCancelled()
 {
     if (this->cancelled.empty()) {
         return false;
@@ -186,47 +186,47 @@
     CallResult result;
     result.outcome = CallOutcome::Cancelled;
     result.mayHaveRun = call->sent;
-    result.elapsed = BootClock::now() - call->begun;
+    result.elapsed = BootClock::now() - call->startedAt;
     call->done(std::move(result));
     return true;
 }
 
-void HttpClient::Parts::collect()
+void HttpClient::Parts::deliverResults()
 {
-    if (this->collecting) {
+    if (this->isDelivering) {
         return;
     }
-    this->collecting = true;
-    while (this->collectEnded() || this->collectCancelled()) {
+    this->isDelivering = true;
+    while (this->deliverEnded() || this->deliverCancelled()) {
         // Repeated because a callback may send or cancel further calls.
     }
-    this->collecting = false;
+    this->isDelivering = false;
 }
 
-void HttpClient::Parts::collectSoon()
+void HttpClient::Parts::deliverSoon()
 {
-    if (this->collectPosted || this->collecting) {
+    if (this->isDeliveryPosted || this->isDelivering) {
         return;
     }
-    this->collectPosted = true;
+    this->isDeliveryPosted = true;
     this->loop.post([this, alive = std::weak_ptr<bool>(this->alive)] {
         if (!alive.expired()) {
-            this->collectPosted = false;
-            this->collect();
+            this->isDeliveryPosted = false;
+            this->deliverResults();
         }
     });
 }
 
 void HttpClient::Parts::finish(ClientCall &call, CURLcode code)
 {
-    if (call.staleConnection && this->sendFresh(call)) {
+    if (call.staleConnection && this->retryOnNewConnection(call)) {
         return;
     }
     const auto found = this->calls.find(call.id);
     assert(found != this->calls.end());
     const std::unique_ptr<ClientCall> owned = std::move(found->second);
     this->calls.erase(found);
-    CallResult result = conclude(*owned, code);
+    CallResult result = takeResult(*owned, code);
     this->release(*owned);
     this->startNext(owned->call.address);
     owned->done(std::move(result));
@@ -234,18 +234,18 @@
 
 void HttpClient::Parts::start(ClientCall &call)
 {
-    ++this->started;
-    ++this->peers[call.call.address].started;
+    ++this->activeCalls;
+    ++this->peers[call.call.address].activeCalls;
     call.easy = this->takeHandle();
-    prepare(call);
+    setOptions(call);
     curl_easy_setopt(call.easy, CURLOPT_MAXAGE_CONN, static_cast<long>(this->settings.maxIdleAge.count()));
     curl_multi_add_handle(this->multi, call.easy);
     // Writes the request at once if a connection is open, and not in the next loop iteration.
     int running = 0;
     curl_multi_socket_action(this->multi, CURL_SOCKET_TIMEOUT, 0, &running);
-    this->arm();
-    if (static_cast<std::size_t>(running) < this->started) {
-        this->collectSoon();
+    this->armTimer();
+    if (static_cast<std::size_t>(running) < this->activeCalls) {
+        this->deliverSoon();
     }
 }
 
@@ -254,7 +254,7 @@
  * libcurl (7.88) checks the deadline of a call that waits for a connection only after it got one. Calls therefore wait
  * here, each with a timer.
  */
-void HttpClient::Parts::wait(ClientCall &call)
+void HttpClient::Parts::enqueue(ClientCall &call)
 {
     std::deque<CallId> &waiting = this->peers[call.call.address].waiting;
     while (!waiting.empty() && this->calls.count(waiting.front()) == 0) {
@@ -273,7 +273,7 @@
     if (found == this->peers.end()) {
         return;
     }
-    while (!found->second.waiting.empty() && found->second.started < this->settings.maxConnectionsPerPeer) {
+    while (!found->second.waiting.empty() && found->second.activeCalls < this->settings.maxConnectionsPerPeer) {
         const auto next = this->calls.find(found->second.waiting.front());
         found->second.waiting.pop_front();
         if (next != this->calls.end()) {
@@ -283,13 +283,13 @@
             this->start(call);
         }
     }
-    if (found->second.started == 0 && found->second.waiting.empty()) {
+    if (found->second.activeCalls == 0 && found->second.waiting.empty()) {
         this->peers.erase(found);
     }
 }
 
 /** Retries a call on a new connection, within the same deadline. Safe because nothing was sent on the stale one. */
-bool HttpClient::Parts::sendFresh(ClientCall &call)
+bool HttpClient::Parts::retryOnNewConnection(ClientCall &call)
 {
     call.staleConnection = false;
     if (call.call.needsNewConnection) {
@@ -300,7 +300,7 @@
     setTimeouts(call);
     call.call.needsNewConnection = true;
     curl_multi_add_handle(this->multi, call.easy);
-    this->arm();
+    this->armTimer();
     return true;
 }
 
@@ -311,14 +311,14 @@
     if (call.easy == nullptr) {
         return;
     }
-    --this->started;
-    --this->peers[call.call.address].started;
+    --this->activeCalls;
+    --this->peers[call.call.address].activeCalls;
     curl_multi_remove_handle(this->multi, call.easy);
     curl_slist_free_all(call.headers);
     call.headers = nullptr;
-    if (this->spareHandles.size() < MaxSpareHandles) {
+    if (this->idleHandles.size() < MaxIdleHandles) {
         curl_easy_reset(call.easy);
-        this->spareHandles.push_back(call.easy);
+        this->idleHandles.push_back(call.easy);
     } else {
         curl_easy_cleanup(call.easy);
     }
@@ -327,18 +327,18 @@
 
 CURL *HttpClient::Parts::takeHandle()
 {
-    if (this->spareHandles.empty()) {
+    if (this->idleHandles.empty()) {
         return curl_easy_init();
     }
-    CURL *easy = this->spareHandles.back();
-    this->spareHandles.pop_back();
+    CURL *easy = this->idleHandles.back();
+    this->idleHandles.pop_back();
     return easy;
 }
 
 HttpClient::HttpClient(loop::EventLoop &loop, const HttpClientSettings &settings)
     : parts(std::make_unique<Parts>(loop, settings))
 {
-    this->parts->open();
+    this->parts->createMulti();
 }
 
 HttpClient::~HttpClient()
@@ -346,7 +346,7 @@
     for (const auto &[id, call] : this->parts->calls) {
         this->parts->release(*call);
     }
-    for (CURL *easy : this->parts->spareHandles) {
+    for (CURL *easy : this->parts->idleHandles) {
         curl_easy_cleanup(easy);
     }
     curl_multi_cleanup(this->parts->multi);
@@ -358,16 +358,17 @@
     Parts &state = *this->parts;
     auto owned = std::make_unique<ClientCall>();
     ClientCall &added = *owned;
-    added.id = ++state.lastCall;
+    added.id = ++state.lastCallId;
     added.call = std::move(call);
     added.done = std::move(done);
     added.sockets = &state.sockets;
-    added.begun = BootClock::now();
+    added.startedAt = BootClock::now();
     const auto peer = state.peers.find(added.call.address);
-    const bool full = peer != state.peers.end() && peer->second.started >= state.settings.maxConnectionsPerPeer;
+    const bool isAtConnectionLimit =
+        peer != state.peers.end() && peer->second.activeCalls >= state.settings.maxConnectionsPerPeer;
     state.calls.emplace(added.id, std::move(owned));
-    if (full) {
-        state.wait(added);
+    if (isAtConnectionLimit) {
+        state.enqueue(added);
     } else {
         state.start(added);
     }
@@ -386,12 +387,12 @@
     state.release(*owned);
     state.startNext(owned->call.address);
     state.cancelled.push_back(std::move(owned));
-    state.collectSoon();
+    state.deliverSoon();
 }
 
 std::uint64_t HttpClient::connectionsOpened() const
 {
-    return this->parts->sockets.added();
+    return this->parts->sockets.addedTotal();
 }
 
 std::size_t HttpClient::inProgress() const
--- a/src/net/HttpServer.cpp
+++ b/src/net/HttpServer.cpp
@@ -26,23 +26,23 @@
  * answered with this server's own 431; beyond, libmicrohttpd sends a bare one. Not larger, because libmicrohttpd clears
  * all of the memory for each request.
  */
-constexpr std::size_t PoolPerHeaderByte = 4;
+constexpr std::size_t PoolBytesPerHeaderByte = 4;
 /** Bounds the calls of MHD_run() in one loop iteration, so that other event sources are served. */
-constexpr int RoundsPerTurn = 8;
-constexpr std::chrono::seconds IdleSweep{1};
-constexpr int HangUpBatch = 64;
-constexpr const char *Continue = "100-continue";
-constexpr int LowestFinalStatus = 200;
-constexpr int HighestStatus = 999;
+constexpr int MaxRoundsPerIteration = 8;
+constexpr std::chrono::seconds SweepInterval{1};
+constexpr int MaxHangUpsPerWait = 64;
+constexpr const char *ContinueExpectation = "100-continue";
+constexpr int MinFinalStatus = 200;
+constexpr int MaxStatus = 999;
 
 /** One open connection. */
 struct Connection {
     std::string peer;
     int socket = -1;
     /** No further request is read: the caller closed its sending side, or the server stopped accepting. */
-    bool hungUp = false;
+    bool receivingEnded = false;
     /** The request in progress, if any. */
-    std::weak_ptr<ServerExchange> current;
+    std::weak_ptr<ServerExchange> currentExchange;
 };
 
 /** The context that libmicrohttpd stores for each request. */
@@ -68,7 +68,7 @@
     return MHD_YES;
 }
 
-std::size_t statedLength(const HttpRequest &request)
+std::size_t statedBodyBytes(const HttpRequest &request)
 {
     const std::string *text = findHeader(request.headers, "Content-Length");
     std::size_t length = 0;
@@ -78,7 +78,7 @@
     return length;
 }
 
-ssize_t noBody(void *, std::uint64_t, char *, std::size_t)
+ssize_t readNoBody(void *, std::uint64_t, char *, std::size_t)
 {
     return MHD_CONTENT_READER_END_WITH_ERROR;
 }
@@ -94,7 +94,7 @@
     const std::string *length = head ? findHeader(answer.headers, "Content-Length") : nullptr;
     std::uint64_t size = 0;
     if (length != nullptr && std::from_chars(length->data(), length->data() + length->size(), size).ec == std::errc()) {
-        return MHD_create_response_from_callback(size, 1, noBody, nullptr, nullptr);
+        return MHD_create_response_from_callback(size, 1, readNoBody, nullptr, nullptr);
     }
     auto *body = new std::string(std::move(answer.body));
     return MHD_create_response_from_buffer_with_free_callback_cls(body->size(), body->data(), freeBody, body);
@@ -109,17 +109,17 @@
     BodyAdmission bodyAdmission;
     ExchangeHost host;
     MHD_Daemon *daemon = nullptr;
-    int daemonEvents = -1;
-    int hangUps = -1;
-    loop::TimerId sweep = 0;
+    int daemonEpollFd = -1;
+    int hangUpEpollFd = -1;
+    loop::TimerId sweepTimer = 0;
     /** Destroyed with the server; posted tasks check it before they use the server. */
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
-    bool runPosted = false;
-    bool running = false;
-    bool stopping = false;
-    bool ended = false;
+    bool isRunPosted = false;
+    bool isRunning = false;
+    bool isStopping = false;
+    bool isDestroyed = false;
     std::unordered_map<std::uint64_t, Connection> connections;
-    std::uint64_t lastConnection = 0;
+    std::uint64_t lastConnectionId = 0;
 
     Parts(loop::EventLoop &loop, HttpServerSettings settings, Handler handler)
         : loop(loop)
@@ -135,11 +135,11 @@
     void onConnection(MHD_Connection *connection, void **context, MHD_ConnectionNotificationCode what);
     MHD_Result onAccess(
         MHD_Connection *connection, RequestContext &context, const char *method, const char *data, std::size_t *size);
-    MHD_Result begin(MHD_Connection *connection, ServerExchange &exchange, const char *method);
-    MHD_Result holdBody(MHD_Connection *connection, ServerExchange &exchange, std::size_t length);
-    MHD_Result finish(MHD_Connection *connection, ServerExchange &exchange);
+    MHD_Result onHeaderRead(MHD_Connection *connection, ServerExchange &exchange, const char *method);
+    MHD_Result requestBodyAdmission(MHD_Connection *connection, ServerExchange &exchange, std::size_t length);
+    MHD_Result onRequestRead(MHD_Connection *connection, ServerExchange &exchange);
     MHD_Result refuse(MHD_Connection *connection, ServerExchange &exchange, HttpAnswer answer);
-    MHD_Result queue(MHD_Connection *connection, ServerExchange &exchange);
+    MHD_Result queueAnswer(MHD_Connection *connection, ServerExchange &exchange);
 };
 
 namespace {
@@ -151,7 +151,7 @@
 }
 
 /** Called by libmicrohttpd with the target as sent, before the header fields are read. */
-void *requestBegins(void *, const char *target, MHD_Connection *connection)
+void *onRequestBegin(void *, const char *target, MHD_Connection *connection)
 {
     auto exchange = std::make_shared<ServerExchange>();
     exchange->self = exchange;
@@ -160,7 +160,7 @@
     return new RequestContext{std::move(exchange)};
 }
 
-void requestEnds(void *, MHD_Connection *, void **context, MHD_RequestTerminationCode)
+void onRequestEnd(void *, MHD_Connection *, void **context, MHD_RequestTerminationCode)
 {
     auto *request = static_cast<RequestContext *>(*context);
     *context = nullptr;
@@ -171,7 +171,7 @@
 }
 
 /** Leaves percent-encoding in targets: they are passed on as sent. */
-std::size_t keepEscapes(void *, MHD_Connection *, char *text)
+std::size_t keepEncoding(void *, MHD_Connection *, char *text)
 {
     return std::char_traits<char>::length(text);
 }
@@ -200,7 +200,7 @@
         [](void *parts, MHD_Connection *connection, void **context, MHD_ConnectionNotificationCode what) {
             static_cast<Parts *>(parts)->onConnection(connection, context, what);
         };
-    const std::size_t pool = this->settings.maxHeaderBytes * PoolPerHeaderByte;
+    const std::size_t pool = this->settings.maxHeaderBytes * PoolBytesPerHeaderByte;
     this->daemon = MHD_start_daemon(MHD_USE_EPOLL | MHD_ALLOW_SUSPEND_RESUME,
                                     0,
                                     nullptr,
@@ -210,13 +210,13 @@
                                     MHD_OPTION_SOCK_ADDR,
                                     reinterpret_cast<sockaddr *>(&address),
                                     MHD_OPTION_URI_LOG_CALLBACK,
-                                    requestBegins,
+                                    onRequestBegin,
                                     this,
                                     MHD_OPTION_UNESCAPE_CALLBACK,
-                                    keepEscapes,
+                                    keepEncoding,
                                     this,
                                     MHD_OPTION_NOTIFY_COMPLETED,
-                                    requestEnds,
+                                    onRequestEnd,
                                     this,
                                     MHD_OPTION_NOTIFY_CONNECTION,
                                     static_cast<MHD_NotifyConnectionCallback>(notify),
@@ -236,15 +236,15 @@
     this->host.runSoon = [this] {
         this->runSoon();
     };
-    this->daemonEvents = MHD_get_daemon_info(this->daemon, MHD_DAEMON_INFO_EPOLL_FD)->epoll_fd;
-    this->hangUps = epoll_create1(EPOLL_CLOEXEC);
-    this->loop.watch(this->daemonEvents, {.readable = true}, [this](loop::Readiness) {
+    this->daemonEpollFd = MHD_get_daemon_info(this->daemon, MHD_DAEMON_INFO_EPOLL_FD)->epoll_fd;
+    this->hangUpEpollFd = epoll_create1(EPOLL_CLOEXEC);
+    this->loop.watch(this->daemonEpollFd, {.readable = true}, [this](loop::Readiness) {
         this->run();
     });
-    this->loop.watch(this->hangUps, {.readable = true}, [this](loop::Readiness) {
+    this->loop.watch(this->hangUpEpollFd, {.readable = true}, [this](loop::Readiness) {
         this->onHangUps();
     });
-    this->sweep = this->loop.every(IdleSweep, [this] {
+    this->sweepTimer = this->loop.every(SweepInterval, [this] {
         this->run();
     });
     return {};
@@ -252,18 +252,18 @@
 
 void HttpServer::Parts::run()
 {
-    if (this->running) {
+    if (this->isRunning) {
         return;
     }
-    this->running = true;
-    bool more = true;
-    for (int round = 0; more && round < RoundsPerTurn; ++round) {
+    this->isRunning = true;
+    bool hasMoreWork = true;
+    for (int round = 0; hasMoreWork && round < MaxRoundsPerIteration; ++round) {
         MHD_run(this->daemon);
         MHD_UNSIGNED_LONG_LONG timeout = 0;
-        more = MHD_get_timeout(this->daemon, &timeout) == MHD_YES && timeout == 0;
+        hasMoreWork = MHD_get_timeout(this->daemon, &timeout) == MHD_YES && timeout == 0;
     }
-    this->running = false;
-    if (more) {
+    this->isRunning = false;
+    if (hasMoreWork) {
         // No event follows for data that libmicrohttpd has already read from its sockets.
         this->runSoon();
     }
@@ -271,13 +271,13 @@
 
 void HttpServer::Parts::runSoon()
 {
-    if (this->runPosted) {
+    if (this->isRunPosted) {
         return;
     }
-    this->runPosted = true;
+    this->isRunPosted = true;
     this->loop.post([this, alive = std::weak_ptr<bool>(this->alive)] {
         if (!alive.expired()) {
-            this->runPosted = false;
+            this->isRunPosted = false;
             this->run();
         }
     });
@@ -290,15 +290,15 @@
  */
 void HttpServer::Parts::onHangUps()
 {
-    std::array<epoll_event, HangUpBatch> events{};
-    const int count = epoll_wait(this->hangUps, events.data(), HangUpBatch, 0);
+    std::array<epoll_event, MaxHangUpsPerWait> events{};
+    const int count = epoll_wait(this->hangUpEpollFd, events.data(), MaxHangUpsPerWait, 0);
     for (int i = 0; i < count; ++i) {
         const auto found = this->connections.find(events[i].data.u64);
         if (found == this->connections.end()) {
             continue;
         }
-        found->second.hungUp = true;
-        const std::shared_ptr<ServerExchange> exchange = found->second.current.lock();
+        found->second.receivingEnded = true;
+        const std::shared_ptr<ServerExchange> exchange = found->second.currentExchange.lock();
         if (exchange != nullptr) {
             exchange->abandon();
         }
@@ -310,10 +310,10 @@
     const int socket = MHD_get_connection_info(connection, MHD_CONNECTION_INFO_CONNECTION_FD)->connect_fd;
     if (what == MHD_CONNECTION_NOTIFY_CLOSED) {
         this->connections.erase(reinterpret_cast<std::uint64_t>(*context));
-        epoll_ctl(this->hangUps, EPOLL_CTL_DEL, socket, nullptr);
+        epoll_ctl(this->hangUpEpollFd, EPOLL_CTL_DEL, socket, nullptr);
         return;
     }
-    const std::uint64_t id = ++this->lastConnection;
+    const std::uint64_t id = ++this->lastConnectionId;
     // libmicrohttpd stores the id in place of a pointer. NOLINTNEXTLINE(performance-no-int-to-ptr)
     *context = reinterpret_cast<void *>(id);
     const MHD_ConnectionInfo *info = MHD_get_connection_info(connection, MHD_CONNECTION_INFO_CLIENT_ADDRESS);
@@ -322,25 +322,25 @@
     epoll_event event{};
     event.events = EPOLLRDHUP | EPOLLET;
     event.data.u64 = id;
-    epoll_ctl(this->hangUps, EPOLL_CTL_ADD, socket, &event);
+    epoll_ctl(this->hangUpEpollFd, EPOLL_CTL_ADD, socket, &event);
 }
 
 MHD_Result HttpServer::Parts::onAccess(
     MHD_Connection *connection, RequestContext &context, const char *method, const char *data, std::size_t *size)
 {
     ServerExchange &exchange = *context.exchange;
-    if (!exchange.started) {
-        exchange.started = true;
-        return this->begin(connection, exchange, method);
+    if (!exchange.isHeaderRead) {
+        exchange.isHeaderRead = true;
+        return this->onHeaderRead(connection, exchange, method);
     }
-    if (exchange.awaitsBody && *size == 0) {
+    if (exchange.isSuspendedBeforeBody && *size == 0) {
         // Resumed after the body was held: libmicrohttpd calls once more before it reads the body.
-        exchange.awaitsBody = false;
-        return exchange.state == ServerExchange::State::Answered ? this->queue(connection, exchange) : MHD_YES;
+        exchange.isSuspendedBeforeBody = false;
+        return exchange.state == ServerExchange::State::Answered ? this->queueAnswer(connection, exchange) : MHD_YES;
     }
-    exchange.awaitsBody = false;
+    exchange.isSuspendedBeforeBody = false;
     if (*size == 0) {
-        return this->finish(connection, exchange);
+        return this->onRequestRead(connection, exchange);
     }
     exchange.bodyBytes += *size;
     if (exchange.bodyBytes > this->settings.maxBodyBytes) {
@@ -353,7 +353,7 @@
     return exchange.bodyBytes > this->settings.maxDiscardedBytes ? MHD_NO : MHD_YES;
 }
 
-MHD_Result HttpServer::Parts::begin(MHD_Connection *connection, ServerExchange &exchange, const char *method)
+MHD_Result HttpServer::Parts::onHeaderRead(MHD_Connection *connection, ServerExchange &exchange, const char *method)
 {
     HttpRequest &request = exchange.mutableRequest();
     request.method = method;
@@ -362,66 +362,68 @@
     const auto found = this->connections.find(exchange.connectionId);
     if (found != this->connections.end()) {
         request.peer = found->second.peer;
-        found->second.current = exchange.self;
+        found->second.currentExchange = exchange.self;
     }
     const MHD_ConnectionInfo *size = MHD_get_connection_info(connection, MHD_CONNECTION_INFO_REQUEST_HEADER_SIZE);
     if (size != nullptr && size->header_size > this->settings.maxHeaderBytes) {
         return this->refuse(
             connection, exchange, problem(431, "Header too large", "The header fields are too large.", RequestRan::No));
     }
-    const std::size_t length = statedLength(request);
+    const std::size_t length = statedBodyBytes(request);
     if (length > this->settings.maxDiscardedBytes) {
         return this->refuse(
             connection, exchange, problem(413, "Body too large", "The body is too large.", RequestRan::No));
     }
     const std::string *expected = findHeader(request.headers, "Expect");
-    if (this->bodyAdmission && length > 0 && expected != nullptr && strcasecmp(expected->c_str(), Continue) == 0) {
-        return this->holdBody(connection, exchange, length);
+    if (this->bodyAdmission && length > 0 && expected != nullptr
+        && strcasecmp(expected->c_str(), ContinueExpectation) == 0) {
+        return this->requestBodyAdmission(connection, exchange, length);
     }
     request.body.reserve(std::min(length, this->settings.maxBodyBytes));
     return MHD_YES;
 }
 
-/** Asks for admission of the body before "100 Continue" is sent, and suspends the connection while it is undecided. */
-MHD_Result HttpServer::Parts::holdBody(MHD_Connection *connection, ServerExchange &exchange, std::size_t length)
+/** Requests admission of the body before "100 Continue" is sent; suspends the connection while it is undecided. */
+MHD_Result
+HttpServer::Parts::requestBodyAdmission(MHD_Connection *connection, ServerExchange &exchange, std::size_t length)
 {
     const std::shared_ptr<ServerExchange> shared = exchange.self.lock();
-    exchange.awaitBody(this->host, length);
+    exchange.holdBody(this->host, length);
     if (std::optional<HttpAnswer> refusal = this->bodyAdmission(shared)) {
         return this->refuse(connection, exchange, std::move(*refusal));
     }
-    if (exchange.bodyHeld) {
-        exchange.awaitsBody = true;
-        exchange.suspended = true;
+    if (exchange.isBodyHeld) {
+        exchange.isSuspendedBeforeBody = true;
+        exchange.isSuspended = true;
         MHD_suspend_connection(connection);
     }
     return MHD_YES;
 }
 
-MHD_Result HttpServer::Parts::finish(MHD_Connection *connection, ServerExchange &exchange)
+MHD_Result HttpServer::Parts::onRequestRead(MHD_Connection *connection, ServerExchange &exchange)
 {
     if (exchange.state == ServerExchange::State::Discarding) {
         return this->refuse(
             connection, exchange, problem(413, "Body too large", "The body is too large.", RequestRan::No));
     }
-    if (this->ended) {
+    if (this->isDestroyed) {
         return MHD_NO;
     }
-    exchange.endBody(true);
+    exchange.notifyBodyEnded(true);
     if (exchange.state == ServerExchange::State::Receiving) {
         const auto found = this->connections.find(exchange.connectionId);
-        if (found != this->connections.end() && found->second.hungUp) {
+        if (found != this->connections.end() && found->second.receivingEnded) {
             return MHD_NO;
         }
         exchange.handOver(this->host, this->handler);
     }
     if (exchange.state == ServerExchange::State::Answered) {
-        return this->queue(connection, exchange);
+        return this->queueAnswer(connection, exchange);
     }
     if (exchange.state == ServerExchange::State::Abandoned) {
         return MHD_NO;
     }
-    exchange.suspended = true;
+    exchange.isSuspended = true;
     MHD_suspend_connection(connection);
     return MHD_YES;
 }
@@ -429,14 +431,14 @@
 MHD_Result HttpServer::Parts::refuse(MHD_Connection *connection, ServerExchange &exchange, HttpAnswer answer)
 {
     exchange.state = ServerExchange::State::Answered;
-    exchange.outgoing = std::move(answer);
-    return this->queue(connection, exchange);
+    exchange.pendingAnswer = std::move(answer);
+    return this->queueAnswer(connection, exchange);
 }
 
-MHD_Result HttpServer::Parts::queue(MHD_Connection *connection, ServerExchange &exchange)
+MHD_Result HttpServer::Parts::queueAnswer(MHD_Connection *connection, ServerExchange &exchange)
 {
-    HttpAnswer &answer = exchange.outgoing;
-    if (answer.status < LowestFinalStatus || answer.status > HighestStatus) {
+    HttpAnswer &answer = exchange.pendingAnswer;
+    if (answer.status < MinFinalStatus || answer.status > MaxStatus) {
         answer = problem(502, "Bad answer", "The answer had no final status.", RequestRan::Unknown);
     }
     MHD_Response *response = makeResponse(answer, exchange.request().method == "HEAD");
@@ -445,7 +447,7 @@
             MHD_add_response_header(response, header.name.c_str(), header.value.c_str());
         }
     }
-    if (this->stopping) {
+    if (this->isStopping) {
         MHD_add_response_header(response, "Connection", "close");
     }
     const MHD_Result queued = MHD_queue_response(connection, static_cast<unsigned>(answer.status), response);
@@ -471,20 +473,20 @@
 
 HttpServer::~HttpServer()
 {
-    this->parts->ended = true;
-    this->parts->loop.cancel(this->parts->sweep);
-    this->parts->loop.unwatch(this->parts->daemonEvents);
-    this->parts->loop.unwatch(this->parts->hangUps);
+    this->parts->isDestroyed = true;
+    this->parts->loop.cancel(this->parts->sweepTimer);
+    this->parts->loop.unwatch(this->parts->daemonEpollFd);
+    this->parts->loop.unwatch(this->parts->hangUpEpollFd);
     // libmicrohttpd aborts the process when it is stopped with a suspended connection.
     for (const auto &[id, connection] : this->parts->connections) {
-        const std::shared_ptr<ServerExchange> exchange = connection.current.lock();
+        const std::shared_ptr<ServerExchange> exchange = connection.currentExchange.lock();
         if (exchange != nullptr) {
             exchange->detach();
         }
     }
     MHD_run(this->parts->daemon);
     MHD_stop_daemon(this->parts->daemon);
-    close(this->parts->hangUps);
+    close(this->parts->hangUpEpollFd);
 }
 
 std::uint16_t HttpServer::port() const
@@ -504,10 +506,10 @@
 
 void HttpServer::stopAccepting()
 {
-    if (this->parts->stopping) {
+    if (this->parts->isStopping) {
         return;
     }
-    this->parts->stopping = true;
+    this->parts->isStopping = true;
     const MHD_socket listening = MHD_quiesce_daemon(this->parts->daemon);
     if (listening != MHD_INVALID_SOCKET) {
         close(listening);
@@ -515,8 +517,8 @@
     // Idle connections are closed now, so that a stop does not wait for callers that keep theirs open. A request that
     // crosses this is not passed to the handler: it would run, and its answer could not be sent.
     for (auto &[id, connection] : this->parts->connections) {
-        if (connection.current.expired()) {
-            connection.hungUp = true;
+        if (connection.currentExchange.expired()) {
+            connection.receivingEnded = true;
             shutdown(connection.socket, SHUT_RD);
         }
     }
--- a/src/net/PipelineConnection.cpp
+++ b/src/net/PipelineConnection.cpp
@@ -14,22 +14,22 @@
 namespace {
 
 /** Maximum number of requests in flight on one connection; callers that pipeline send only a few ahead. */
-constexpr std::size_t MostUnderWay = 32;
+constexpr std::size_t MaxRequestsInFlight = 32;
 /** Bytes that are read behind that many requests, so that a caller that disconnects is noticed; then reading stops. */
-constexpr std::size_t MostUnread = 64UL * 1024;
-constexpr std::size_t ReadBytes = 16UL * 1024;
+constexpr std::size_t MaxUnparsedBytes = 64UL * 1024;
+constexpr std::size_t ReadBufferBytes = 16UL * 1024;
 /** How long a connection whose sending side was closed here waits for the caller to close it too. */
-constexpr std::chrono::seconds DrainTime{2};
+constexpr std::chrono::seconds CallerCloseTimeout{2};
 constexpr const char *ContinueAnswer = "HTTP/1.1 100 Continue\r\n\r\n";
 
 /** @return whether the method is safe: requests have no effects whose order could matter (RFC 9110, 9.2.1) */
 bool isSafe(const std::string &method)
 {
-    static constexpr std::array<std::string_view, 3> Safe{"GET", "HEAD", "OPTIONS"};
-    return std::find(Safe.begin(), Safe.end(), method) != Safe.end();
+    static constexpr std::array<std::string_view, 3> SafeMethods{"GET", "HEAD", "OPTIONS"};
+    return std::find(SafeMethods.begin(), SafeMethods.end(), method) != SafeMethods.end();
 }
 
-HttpAnswer tooLarge(int status, const std::string &what)
+HttpAnswer tooLargeAnswer(int status, const std::string &what)
 {
     return problem(status, what + " too large", "The " + what + " is too large.", RequestRan::No);
 }
@@ -46,13 +46,13 @@
     , stream(stream)
     , peer(std::move(peer))
     , parser(host.settings)
-    , lastMove(BootClock::now())
+    , lastActivityAt(BootClock::now())
 {
 }
 
 PipelineConnection::~PipelineConnection()
 {
-    this->end(false);
+    this->close(false);
 }
 
 void PipelineConnection::start()
@@ -65,20 +65,21 @@
     const std::shared_ptr<PipelineConnection> self = this->shared_from_this();
     const bool sent = !ready.writable || this->flush();
     if (!sent || (ready.readable && !this->readSocket())) {
-        this->end(true);
+        this->close(true);
         return;
     }
     this->parse();
-    this->pump();
+    this->process();
 }
 
 /** Updates the events that the socket is watched for to those that can be handled now. */
 void PipelineConnection::watch()
 {
-    if (this->over) {
+    if (this->isClosed) {
         return;
     }
-    const loop::Readiness wanted{.readable = this->unread.size() < MostUnread, .writable = !this->unsent.empty()};
+    const loop::Readiness wanted{.readable = this->receiveBuffer.size() < MaxUnparsedBytes,
+                                 .writable = !this->sendBuffer.empty()};
     if (wanted.readable == this->watched.readable && wanted.writable == this->watched.writable) {
         return;
     }
@@ -95,7 +96,7 @@
 /** @return false if the caller has disconnected; one that closes only its sending side cannot be told from that */
 bool PipelineConnection::readSocket()
 {
-    std::array<char, ReadBytes> bytes; // NOLINT(cppcoreguidelines-pro-type-member-init)
+    std::array<char, ReadBufferBytes> bytes; // NOLINT(cppcoreguidelines-pro-type-member-init)
     const ssize_t count = this->stream.recv(bytes.data(), bytes.size());
     if (count < 0) {
         return wouldBlock();
@@ -103,9 +104,9 @@
     if (count == 0) {
         return false;
     }
-    this->lastMove = BootClock::now();
-    if (!this->closing) {
-        this->unread.append(bytes.data(), static_cast<std::size_t>(count));
+    this->lastActivityAt = BootClock::now();
+    if (!this->isClosing) {
+        this->receiveBuffer.append(bytes.data(), static_cast<std::size_t>(count));
     }
     return true;
 }
@@ -114,59 +115,60 @@
 void PipelineConnection::parse()
 {
     std::size_t done = 0;
-    while (!this->closing && done < this->unread.size() && this->exchanges.size() < MostUnderWay) {
-        done += this->parser.read(std::string_view(this->unread).substr(done));
-        if (this->parser.stage() < ParseStage::Whole) {
+    while (!this->isClosing && done < this->receiveBuffer.size() && this->exchanges.size() < MaxRequestsInFlight) {
+        done += this->parser.read(std::string_view(this->receiveBuffer).substr(done));
+        if (this->parser.stage() < ParseStage::Complete) {
             break;
         }
-        this->takeParsed();
+        this->enqueueParsed();
     }
-    this->unread.erase(0, this->closing ? this->unread.size() : done);
-    this->continueBody();
+    this->receiveBuffer.erase(0, this->isClosing ? this->receiveBuffer.size() : done);
+    this->sendContinue();
 }
 
-void PipelineConnection::takeParsed()
+void PipelineConnection::enqueueParsed()
 {
     switch (this->parser.stage()) {
     case ParseStage::HeaderTooLarge:
-        this->refuse(tooLarge(431, "header"), true);
+        this->enqueueRefusal(tooLargeAnswer(431, "header"), true);
         return;
     case ParseStage::BodyRefused:
-        this->refuse(tooLarge(413, "body"), true);
+        this->enqueueRefusal(tooLargeAnswer(413, "body"), true);
         return;
     case ParseStage::BodyTooLarge:
-        this->refuse(tooLarge(413, "body"), !this->parser.keepsConnection() || this->takesOneMore);
+        this->enqueueRefusal(tooLargeAnswer(413, "body"),
+                             !this->parser.keepsConnection() || this->isReadingLastRequest);
         this->parser.take();
         return;
-    case ParseStage::Whole: {
-        const bool last = !this->parser.keepsConnection() || this->takesOneMore;
-        this->take(this->parser.take(), last);
+    case ParseStage::Complete: {
+        const bool isLast = !this->parser.keepsConnection() || this->isReadingLastRequest;
+        this->enqueue(this->parser.take(), isLast);
         return;
     }
     default:
-        this->refuse(problem(400, "bad request", "The bytes are no HTTP request.", RequestRan::No), true);
+        this->enqueueRefusal(problem(400, "bad request", "The bytes are no HTTP request.", RequestRan::No), true);
         return;
     }
 }
 
-void PipelineConnection::take(HttpRequest request, bool last)
+void PipelineConnection::enqueue(HttpRequest request, bool isLast)
 {
     request.peer = this->peer;
-    this->continued = false;
+    this->isContinueSent = false;
     this->exchanges.push_back(std::make_shared<PipelineExchange>(this->weak_from_this(), std::move(request)));
-    this->exchanges.back()->last = last;
-    this->closing = last;
+    this->exchanges.back()->isLast = isLast;
+    this->isClosing = isLast;
 }
 
 /** Queues an answer of the server's own behind the answers to earlier requests. */
-void PipelineConnection::refuse(HttpAnswer answer, bool last)
+void PipelineConnection::enqueueRefusal(HttpAnswer answer, bool isLast)
 {
-    this->take({}, last);
+    this->enqueue({}, isLast);
     this->exchanges.back()->state = PipelineExchange::State::Answered;
-    this->exchanges.back()->outgoing = std::move(answer);
+    this->exchanges.back()->pendingAnswer = std::move(answer);
 }
 
-bool PipelineConnection::mayHandOver(std::size_t index) const
+bool PipelineConnection::canHandOver(std::size_t index) const
 {
     const auto isUnsafe = [](const std::shared_ptr<PipelineExchange> &exchange) {
         return !isSafe(exchange->request().method);
@@ -176,17 +178,17 @@
 }
 
 /** Passes the requests that may be processed to the handler. @return whether there were any */
-bool PipelineConnection::handOverDue()
+bool PipelineConnection::handOverReady()
 {
     bool any = false;
     // Indexed because a handler may answer at once, remove the last exchanges, or close the connection.
-    for (std::size_t index = 0; index < this->exchanges.size() && this->mayHandOver(index); ++index) {
+    for (std::size_t index = 0; index < this->exchanges.size() && this->canHandOver(index); ++index) {
         const std::shared_ptr<PipelineExchange> exchange = this->exchanges[index];
         if (exchange->state != PipelineExchange::State::Waiting) {
             continue;
         }
         exchange->state = PipelineExchange::State::HandedOver;
-        exchange->handedOver = true;
+        exchange->wasHandedOver = true;
         ++this->host.inProgress;
         this->host.handler(exchange);
         any = true;
@@ -194,70 +196,71 @@
     return any;
 }
 
-void PipelineConnection::pump()
+void PipelineConnection::process()
 {
-    if (this->pumping || this->over) {
+    if (this->isProcessing || this->isClosed) {
         return;
     }
     const std::shared_ptr<PipelineConnection> self = this->shared_from_this();
-    this->pumping = true;
-    for (bool moved = true; moved && !this->over;) {
-        const bool handed = this->handOverDue();
-        const bool wrote = !this->over && this->writeDue();
-        if (wrote && !this->over) {
+    this->isProcessing = true;
+    for (bool hasProgress = true; hasProgress && !this->isClosed;) {
+        const bool anyHandedOver = this->handOverReady();
+        const bool anyWritten = !this->isClosed && this->writeReadyAnswers();
+        if (anyWritten && !this->isClosed) {
             this->parse();
         }
-        moved = handed || wrote;
+        hasProgress = anyHandedOver || anyWritten;
     }
-    this->pumping = false;
+    this->isProcessing = false;
     this->watch();
 }
 
 /** Serializes the answers that are next in order and sends what the socket accepts. @return whether there were any */
-bool PipelineConnection::writeDue()
+bool PipelineConnection::writeReadyAnswers()
 {
     bool any = false;
     while (!this->exchanges.empty() && this->exchanges.front()->state == PipelineExchange::State::Answered) {
         const std::shared_ptr<PipelineExchange> exchange = std::move(this->exchanges.front());
         this->exchanges.pop_front();
-        const bool head = exchange->request().method == "HEAD";
-        this->unsent += answerText(exchange->outgoing, {.head = head, .closes = exchange->last});
-        this->answersUnsent += exchange->handedOver ? 1 : 0;
+        const bool isHead = exchange->request().method == "HEAD";
+        this->sendBuffer +=
+            answerText(exchange->pendingAnswer, {.isHead = isHead, .closesConnection = exchange->isLast});
+        this->unsentAnswers += exchange->wasHandedOver ? 1 : 0;
         any = true;
     }
     if (any && !this->flush()) {
-        this->end(true);
+        this->close(true);
     }
     return any;
 }
 
 /** Answers "Expect: 100-continue" after all earlier requests have been answered. */
-void PipelineConnection::continueBody()
+void PipelineConnection::sendContinue()
 {
-    if (this->continued || !this->exchanges.empty() || !this->parser.expectsContinue()) {
+    if (this->isContinueSent || !this->exchanges.empty() || !this->parser.expectsContinue()) {
         return;
     }
-    this->continued = true;
-    this->unsent += ContinueAnswer;
+    this->isContinueSent = true;
+    this->sendBuffer += ContinueAnswer;
     if (!this->flush()) {
-        this->end(true);
+        this->close(true);
     }
 }
 
 /** Sends what the socket accepts. @return false if the caller has disconnected */
 bool PipelineConnection::flush()
 {
-    while (!this->unsent.empty()) {
-        const ssize_t count = this->stream.send(this->unsent.data(), this->unsent.size(), MSG_NOSIGNAL);
+    while (!this->sendBuffer.empty()) {
+        const ssize_t count = this->stream.send(this->sendBuffer.data(), this->sendBuffer.size(), MSG_NOSIGNAL);
         if (count < 0) {
             return wouldBlock();
         }
-        this->unsent.erase(0, static_cast<std::size_t>(count));
-        this->lastMove = BootClock::now();
+        this->sendBuffer.erase(0, static_cast<std::size_t>(count));
+        this->lastActivityAt = BootClock::now();
     }
-    this->host.inProgress -= std::exchange(this->answersUnsent, 0);
-    if (this->closing && this->exchanges.empty()) {
-        this->finishSending();
+    this->host.inProgress -= std::exchange(this->unsentAnswers, 0);
+    if (this->isClosing && this->exchanges.empty()) {
+        this->closeSendingSide();
     }
     return true;
 }
@@ -267,19 +270,19 @@
  * Guards against the loss of answers that were sent: closing a socket with unread bytes resets the connection, and
  * the caller loses what it has not read yet.
  */
-void PipelineConnection::finishSending()
+void PipelineConnection::closeSendingSide()
 {
-    if (!this->draining) {
-        this->draining = true;
-        this->closing = true;
-        this->lastMove = BootClock::now();
+    if (!this->isSendingSideClosed) {
+        this->isSendingSideClosed = true;
+        this->isClosing = true;
+        this->lastActivityAt = BootClock::now();
         this->stream.close_writer();
     }
 }
 
-void PipelineConnection::stopTaking()
+void PipelineConnection::drain()
 {
-    if (this->closing || this->over) {
+    if (this->isClosing || this->isClosed) {
         return;
     }
     // Callers assume that requests behind an answer that closes its connection were not read, and send them again.
@@ -287,51 +290,51 @@
         this->exchanges.pop_back();
     }
     if (!this->exchanges.empty()) {
-        this->exchanges.back()->last = true;
-        this->closing = true;
-        this->unread.clear();
+        this->exchanges.back()->isLast = true;
+        this->isClosing = true;
+        this->receiveBuffer.clear();
         return;
     }
     if (this->parser.stage() != ParseStage::Idle) {
-        this->takesOneMore = true;
+        this->isReadingLastRequest = true;
         return;
     }
-    this->finishSending();
+    this->closeSendingSide();
 }
 
-void PipelineConnection::sweep(BootTime now)
+void PipelineConnection::closeIfIdle(BootTime now)
 {
-    const auto idle = now - this->lastMove;
-    if (this->draining) {
-        if (idle > DrainTime) {
-            this->end(false);
+    const auto idle = now - this->lastActivityAt;
+    if (this->isSendingSideClosed) {
+        if (idle > CallerCloseTimeout) {
+            this->close(false);
         }
         return;
     }
     if (idle <= this->host.settings.idleTimeout) {
         return;
     }
-    if (!this->unsent.empty()) {
-        this->end(true);
+    if (!this->sendBuffer.empty()) {
+        this->close(true);
     } else if (this->exchanges.empty()) {
-        this->finishSending();
+        this->closeSendingSide();
     }
 }
 
-void PipelineConnection::end(bool tell)
+void PipelineConnection::close(bool runAbandonedTasks)
 {
-    if (std::exchange(this->over, true)) {
+    if (std::exchange(this->isClosed, true)) {
         return;
     }
     this->host.loop.unwatch(this->stream.get_handle());
     this->stream.close();
-    this->host.inProgress -= std::exchange(this->answersUnsent, 0);
+    this->host.inProgress -= std::exchange(this->unsentAnswers, 0);
     const std::deque<std::shared_ptr<PipelineExchange>> open = std::exchange(this->exchanges, {});
     for (const std::shared_ptr<PipelineExchange> &exchange : open) {
-        this->host.inProgress -= exchange->handedOver ? 1 : 0;
-        exchange->abandon(tell);
+        this->host.inProgress -= exchange->wasHandedOver ? 1 : 0;
+        exchange->abandon(runAbandonedTasks);
     }
-    this->host.ended(this);
+    this->host.onClosed(this);
 }
 
 } // namespace bergamotweir::net
--- a/src/net/PipelineConnection.h
+++ b/src/net/PipelineConnection.h
@@ -19,7 +19,7 @@
     HttpServerSettings settings;
     std::function<void(std::shared_ptr<Exchange>)> handler;
     /** Called when a connection was closed and can be removed. */
-    std::function<void(PipelineConnection *)> ended;
+    std::function<void(PipelineConnection *)> onClosed;
     /** Number of requests passed to the handler whose answer has not been written completely. */
     std::size_t inProgress = 0;
 };
@@ -43,55 +43,55 @@
     void start();
 
     /** Passes the requests that may be processed to the handler, and writes the answers that are next in order. */
-    void pump();
+    void process();
 
     /** Accepts no further request and closes the connection, now or after the last outstanding answer. */
-    void stopTaking();
+    void drain();
 
     /** Closes the connection if no byte was transferred for too long. */
-    void sweep(BootTime now);
+    void closeIfIdle(BootTime now);
 
-    /** Closes the socket. @param tell whether to run the abandoned tasks of requests in progress */
-    void end(bool tell);
+    /** Closes the socket. @param runAbandonedTasks whether to run the abandoned tasks of requests in progress */
+    void close(bool runAbandonedTasks);
 
 private:
     void onReady(loop::Readiness ready);
     void watch();
     bool readSocket();
     void parse();
-    void takeParsed();
-    void take(HttpRequest request, bool last);
-    void refuse(HttpAnswer answer, bool last);
-    bool handOverDue();
-    bool mayHandOver(std::size_t index) const;
-    bool writeDue();
-    void continueBody();
+    void enqueueParsed();
+    void enqueue(HttpRequest request, bool isLast);
+    void enqueueRefusal(HttpAnswer answer, bool isLast);
+    bool handOverReady();
+    bool canHandOver(std::size_t index) const;
+    bool writeReadyAnswers();
+    void sendContinue();
     bool flush();
-    void finishSending();
+    void closeSendingSide();
 
     PipelineHost &host;
     ACE_SOCK_Stream stream;
     std::string peer;
     RequestParser parser;
     /** Bytes received and not parsed yet, because the maximum number of requests is in flight. */
-    std::string unread;
-    std::string unsent;
+    std::string receiveBuffer;
+    std::string sendBuffer;
     std::deque<std::shared_ptr<PipelineExchange>> exchanges;
     /** Number of answers from handlers that have not been sent completely. */
-    std::size_t answersUnsent = 0;
+    std::size_t unsentAnswers = 0;
     loop::Readiness watched;
     /** When a byte was last received or sent. */
-    BootTime lastMove;
-    bool pumping = false;
+    BootTime lastActivityAt;
+    bool isProcessing = false;
     /** "100 Continue" was sent for the request that is being read. */
-    bool continued = false;
+    bool isContinueSent = false;
     /** The request that is being read is the last one to be accepted. */
-    bool takesOneMore = false;
+    bool isReadingLastRequest = false;
     /** No further request is accepted. */
-    bool closing = false;
+    bool isClosing = false;
     /** All answers were sent and the sending side is closed; the caller has not closed its side yet. */
-    bool draining = false;
-    bool over = false;
+    bool isSendingSideClosed = false;
+    bool isClosed = false;
 };
 
 } // namespace bergamotweir::net
--- a/src/net/PipelineExchange.cpp
+++ b/src/net/PipelineExchange.cpp
@@ -20,10 +20,10 @@
     }
     assert(this->state == State::HandedOver);
     this->state = State::Answered;
-    this->outgoing = std::move(answer);
+    this->pendingAnswer = std::move(answer);
     this->abandonedTask = nullptr;
     if (const std::shared_ptr<PipelineConnection> open = this->connection.lock()) {
-        open->pump();
+        open->process();
     }
 }
 
@@ -32,12 +32,12 @@
     return this->state == State::Abandoned;
 }
 
-void PipelineExchange::abandon(bool tell)
+void PipelineExchange::abandon(bool runTask)
 {
-    const bool inWork = this->state == State::HandedOver;
+    const bool isInProgress = this->state == State::HandedOver;
     this->state = State::Abandoned;
     const std::function<void()> task = std::exchange(this->abandonedTask, nullptr);
-    if (tell && inWork && task) {
+    if (runTask && isInProgress && task) {
         task();
     }
 }
--- a/src/net/PipelineExchange.h
+++ b/src/net/PipelineExchange.h
@@ -24,15 +24,15 @@
     void answer(HttpAnswer answer) override;
     bool isAbandoned() const override;
 
-    /** Called when the connection is closed before the answer. @param tell whether to run the abandoned task */
-    void abandon(bool tell);
+    /** Called when the connection is closed before the answer. @param runTask whether to run the abandoned task */
+    void abandon(bool runTask);
 
     State state = State::Waiting;
-    HttpAnswer outgoing;
+    HttpAnswer pendingAnswer;
     /** The connection is closed after this request's answer. */
-    bool last = false;
+    bool isLast = false;
     /** The request was passed to the handler; false for those that the server refuses itself. */
-    bool handedOver = false;
+    bool wasHandedOver = false;
 
 private:
     std::weak_ptr<PipelineConnection> connection;
--- a/src/net/PipelineServer.cpp
+++ b/src/net/PipelineServer.cpp
@@ -17,7 +17,7 @@
 /** Connections that the kernel queues until they are accepted: enough for a burst within one loop iteration. */
 constexpr int Backlog = 511;
 /** Bounds the connections accepted in one loop iteration, so that other event sources are served. */
-constexpr int AcceptsPerTurn = 64;
+constexpr int MaxAcceptsPerIteration = 64;
 
 ACE_INET_Addr toAddress(const HttpServerSettings &settings)
 {
@@ -42,16 +42,16 @@
     PipelineHost host;
     ACE_SOCK_Acceptor acceptor;
     std::uint16_t port = 0;
-    loop::TimerId sweep = 0;
-    bool accepting = false;
+    loop::TimerId sweepTimer = 0;
+    bool isAccepting = false;
     std::unordered_map<PipelineConnection *, std::shared_ptr<PipelineConnection>> connections;
 
     Findings start();
     void watchAcceptor();
     void accept();
-    void take(const ACE_SOCK_Stream &stream, const ACE_INET_Addr &peer);
-    void sweepAll();
-    std::vector<std::shared_ptr<PipelineConnection>> all() const;
+    void addConnection(const ACE_SOCK_Stream &stream, const ACE_INET_Addr &peer);
+    void closeIdle();
+    std::vector<std::shared_ptr<PipelineConnection>> openConnections() const;
 };
 
 Findings PipelineServer::Parts::start()
@@ -66,12 +66,12 @@
     }
     this->acceptor.enable(ACE_NONBLOCK);
     this->port = bound.get_port_number();
-    this->host.ended = [this](PipelineConnection *connection) {
+    this->host.onClosed = [this](PipelineConnection *connection) {
         this->connections.erase(connection);
         this->watchAcceptor();
     };
-    this->sweep = this->host.loop.every(SweepInterval, [this] {
-        this->sweepAll();
+    this->sweepTimer = this->host.loop.every(SweepInterval, [this] {
+        this->closeIdle();
     });
     this->watchAcceptor();
     return {};
@@ -82,10 +82,10 @@
 {
     const bool open = this->acceptor.get_handle() != ACE_INVALID_HANDLE;
     const bool wanted = open && this->connections.size() < this->host.settings.maxConnections;
-    if (wanted == this->accepting) {
+    if (wanted == this->isAccepting) {
         return;
     }
-    this->accepting = wanted;
+    this->isAccepting = wanted;
     if (!wanted) {
         this->host.loop.unwatch(this->acceptor.get_handle());
         return;
@@ -97,18 +97,18 @@
 
 void PipelineServer::Parts::accept()
 {
-    for (int count = 0; count < AcceptsPerTurn && this->accepting; ++count) {
+    for (int count = 0; count < MaxAcceptsPerIteration && this->isAccepting; ++count) {
         ACE_SOCK_Stream stream;
         ACE_INET_Addr peer;
         if (this->acceptor.accept(stream, &peer) != 0) {
             return;
         }
-        this->take(stream, peer);
+        this->addConnection(stream, peer);
         this->watchAcceptor();
     }
 }
 
-void PipelineServer::Parts::take(const ACE_SOCK_Stream &stream, const ACE_INET_Addr &peer)
+void PipelineServer::Parts::addConnection(const ACE_SOCK_Stream &stream, const ACE_INET_Addr &peer)
 {
     ACE_SOCK_Stream accepted(stream);
     accepted.enable(ACE_NONBLOCK);
@@ -119,7 +119,7 @@
     connection->start();
 }
 
-std::vector<std::shared_ptr<PipelineConnection>> PipelineServer::Parts::all() const
+std::vector<std::shared_ptr<PipelineConnection>> PipelineServer::Parts::openConnections() const
 {
     std::vector<std::shared_ptr<PipelineConnection>> open;
     open.reserve(this->connections.size());
@@ -129,11 +129,11 @@
     return open;
 }
 
-void PipelineServer::Parts::sweepAll()
+void PipelineServer::Parts::closeIdle()
 {
     const BootTime now = BootClock::now();
-    for (const std::shared_ptr<PipelineConnection> &connection : this->all()) {
-        connection->sweep(now);
+    for (const std::shared_ptr<PipelineConnection> &connection : this->openConnections()) {
+        connection->closeIfIdle(now);
     }
 }
 
@@ -141,7 +141,7 @@
 PipelineServer::listen(loop::EventLoop &loop, const HttpServerSettings &settings, Handler handler)
 {
     std::unique_ptr<Parts> parts(
-        new Parts{.host = {.loop = loop, .settings = settings, .handler = std::move(handler), .ended = {}},
+        new Parts{.host = {.loop = loop, .settings = settings, .handler = std::move(handler), .onClosed = {}},
                   .acceptor = {},
                   .connections = {}});
     Findings findings = parts->start();
@@ -159,9 +159,9 @@
 PipelineServer::~PipelineServer()
 {
     this->stopAccepting();
-    this->parts->host.loop.cancel(this->parts->sweep);
-    for (const std::shared_ptr<PipelineConnection> &connection : this->parts->all()) {
-        connection->end(false);
+    this->parts->host.loop.cancel(this->parts->sweepTimer);
+    for (const std::shared_ptr<PipelineConnection> &connection : this->parts->openConnections()) {
+        connection->close(false);
     }
 }
 
@@ -182,9 +182,9 @@
     }
     this->parts->host.loop.unwatch(this->parts->acceptor.get_handle());
     this->parts->acceptor.close();
-    this->parts->accepting = false;
-    for (const std::shared_ptr<PipelineConnection> &connection : this->parts->all()) {
-        connection->stopTaking();
+    this->parts->isAccepting = false;
+    for (const std::shared_ptr<PipelineConnection> &connection : this->parts->openConnections()) {
+        connection->drain();
     }
 }
 
--- a/src/net/RequestParser.h
+++ b/src/net/RequestParser.h
@@ -16,7 +16,7 @@
     /** The request line or the header fields are being read. */
     Header,
     Body,
-    Whole,
+    Complete,
     /** The request was read, but its body was larger than allowed and was discarded: 413. */
     BodyTooLarge,
     /** The header fields are larger than allowed: 431. The connection cannot be read further. */
@@ -39,7 +39,7 @@
 
     /**
      * Reads bytes, at most up to the end of one request.
-     * @return number of bytes read; may be fewer than given when the stage is Whole or a later one
+     * @return number of bytes read; may be fewer than given when the stage is Complete or a later one
      */
     std::size_t read(std::string_view bytes);
 
@@ -51,7 +51,7 @@
     /** @return whether the caller waits for "100 Continue" before it sends the body */
     bool expectsContinue() const;
 
-    /** Returns the request, which must be Whole, and makes the parser Idle. */
+    /** Returns the request, which must be Complete, and makes the parser Idle. */
     HttpRequest take();
 
 private:
@@ -60,12 +60,12 @@
     const HttpServerSettings &settings;
     http_parser parser{};
     HttpRequest request;
-    ParseStage current = ParseStage::Idle;
+    ParseStage currentStage = ParseStage::Idle;
     std::size_t headerBytes = 0;
     std::size_t bodyBytes = 0;
     bool inFieldValue = false;
-    bool keeps = false;
-    bool discards = false;
+    bool keepsAlive = false;
+    bool discardsBody = false;
 };
 
 } // namespace bergamotweir::net
--- a/src/net/ServerExchange.cpp
+++ b/src/net/ServerExchange.cpp
@@ -14,9 +14,9 @@
     }
     assert(this->state == State::HandedOver);
     this->state = State::Answered;
-    this->outgoing = std::move(answer);
+    this->pendingAnswer = std::move(answer);
     this->abandonedTask = nullptr;
-    this->wake();
+    this->resume();
 }
 
 bool ServerExchange::isAbandoned() const
@@ -29,7 +29,7 @@
     assert(this->state == State::Receiving);
     this->state = State::HandedOver;
     this->host = &to;
-    this->counted = true;
+    this->isCounted = true;
     ++to.inProgress;
     handler(this->self.lock());
 }
@@ -38,14 +38,14 @@
 {
     if (this->state == State::Receiving) {
         // libmicrohttpd finds the connection closed when it tries to read the body.
-        this->wake();
+        this->resume();
         return;
     }
     if (this->state != State::HandedOver) {
         return;
     }
     this->state = State::Abandoned;
-    this->wake();
+    this->resume();
     const std::function<void()> task = std::move(this->abandonedTask);
     if (task) {
         task();
@@ -58,9 +58,9 @@
         this->state = State::Abandoned;
         this->abandonedTask = nullptr;
     }
-    this->wake();
-    this->endBody(false);
-    if (std::exchange(this->counted, false)) {
+    this->resume();
+    this->notifyBodyEnded(false);
+    if (std::exchange(this->isCounted, false)) {
         --this->host->inProgress;
     }
     this->host = nullptr;
@@ -74,20 +74,20 @@
 
 std::size_t ServerExchange::length() const
 {
-    return this->expectedBytes;
+    return this->statedBodyBytes;
 }
 
-void ServerExchange::awaitBody(ExchangeHost &to, std::size_t length)
+void ServerExchange::holdBody(ExchangeHost &to, std::size_t length)
 {
     this->host = &to;
-    this->expectedBytes = length;
-    this->bodyHeld = true;
+    this->statedBodyBytes = length;
+    this->isBodyHeld = true;
 }
 
 void ServerExchange::proceed()
 {
-    this->bodyHeld = false;
-    this->wake();
+    this->isBodyHeld = false;
+    this->resume();
 }
 
 void ServerExchange::refuse(HttpAnswer answer)
@@ -95,13 +95,13 @@
     if (this->state != State::Receiving) {
         return;
     }
-    this->bodyHeld = false;
+    this->isBodyHeld = false;
     this->state = State::Answered;
-    this->outgoing = std::move(answer);
-    this->wake();
+    this->pendingAnswer = std::move(answer);
+    this->resume();
 }
 
-void ServerExchange::endBody(bool whole)
+void ServerExchange::notifyBodyEnded(bool whole)
 {
     const std::function<void(bool)> task = std::exchange(this->endedTask, nullptr);
     if (task) {
@@ -109,10 +109,10 @@
     }
 }
 
-void ServerExchange::wake()
+void ServerExchange::resume()
 {
-    if (this->suspended && this->connection != nullptr) {
-        this->suspended = false;
+    if (this->isSuspended && this->connection != nullptr) {
+        this->isSuspended = false;
         MHD_resume_connection(this->connection);
         // Without this the answer waits for the next event of any connection, because resuming one causes no event.
         this->host->runSoon();
--- a/src/net/ServerExchange.h
+++ b/src/net/ServerExchange.h
@@ -43,17 +43,19 @@
 
     /** Holds the body of a caller that waits for "100 Continue". The connection must be suspended until proceed() or
      * refuse(). */
-    void awaitBody(ExchangeHost &to, std::size_t length);
+    void holdBody(ExchangeHost &to, std::size_t length);
 
     /** Runs the task of onEnded(), once. */
-    void endBody(bool whole);
+    void notifyBodyEnded(bool whole);
 
     /** Passes the complete request to the handler. The connection must be suspended afterwards if the state is
      * HandedOver. */
     void handOver(ExchangeHost &to, const std::function<void(std::shared_ptr<Exchange>)> &handler);
 
-    /** Called when the caller has disconnected: resumes the connection, so that it is closed, and runs the abandoned
-     * task. */
+    /**
+     * Called when the caller has disconnected: resumes the connection, so that it is closed, and runs the abandoned
+     * task.
+     */
     void abandon();
 
     /** Called when libmicrohttpd ends the request or the server is destroyed: a later answer has no effect. */
@@ -62,14 +64,14 @@
     MHD_Connection *connection = nullptr;
     std::uint64_t connectionId = 0;
     State state = State::Receiving;
-    bool suspended = false;
+    bool isSuspended = false;
     /** Neither proceed() nor refuse() has been called for the held body. */
-    bool bodyHeld = false;
+    bool isBodyHeld = false;
     /** Suspended before its body; libmicrohttpd calls the access handler once more before it reads the body. */
-    bool awaitsBody = false;
-    bool started = false;
+    bool isSuspendedBeforeBody = false;
+    bool isHeaderRead = false;
     std::size_t bodyBytes = 0;
-    HttpAnswer outgoing;
+    HttpAnswer pendingAnswer;
     std::weak_ptr<ServerExchange> self;
 
     HttpRequest &mutableRequest()
@@ -78,11 +80,11 @@
     }
 
 private:
-    void wake();
+    void resume();
     ExchangeHost *host = nullptr;
     /** Whether the request is counted in the host's inProgress. */
-    bool counted = false;
-    std::size_t expectedBytes = 0;
+    bool isCounted = false;
+    std::size_t statedBodyBytes = 0;
 };
 
 } // namespace bergamotweir::net
--- a/src/net/SocketSet.h
+++ b/src/net/SocketSet.h
@@ -16,8 +16,8 @@
 class SocketSet
 {
 public:
-    /** @param ready called on the loop's thread with a socket and the events that it is ready for */
-    SocketSet(loop::EventLoop &loop, std::function<void(int, loop::Readiness)> ready);
+    /** @param onSocketReady called on the loop's thread with a socket and the events that it is ready for */
+    SocketSet(loop::EventLoop &loop, std::function<void(int, loop::Readiness)> onSocketReady);
     ~SocketSet();
     SocketSet(const SocketSet &) = delete;
     SocketSet &operator=(const SocketSet &) = delete;
@@ -26,20 +26,20 @@
     void watch(int socket, loop::Readiness interest);
 
     /** Removes a socket that is about to be closed. */
-    void forget(int socket);
+    void remove(int socket);
 
 private:
     struct Entry {
-        unsigned wanted = 0;
-        unsigned registered = 0;
+        unsigned wantedEvents = 0;
+        unsigned registeredEvents = 0;
     };
 
     void onReady();
-    void enter(int socket, Entry &entry, unsigned events) const;
+    void updateRegistration(int socket, Entry &entry, unsigned events) const;
 
     loop::EventLoop &loop;
-    std::function<void(int, loop::Readiness)> ready;
-    int set;
+    std::function<void(int, loop::Readiness)> onSocketReady;
+    int epollFd;
     std::unordered_map<int, Entry> entries;
 };
 
--- a/tests/HttpClientTest.cpp
+++ b/tests/HttpClientTest.cpp
@@ -18,16 +18,16 @@
 struct Bench {
     std::unique_ptr<loop::EventLoop> loop = loop::EventLoop::create().value();
     std::unique_ptr<HttpClient> client = std::make_unique<HttpClient>(*this->loop);
-    bool ranOut = false;
+    bool hasTimedOut = false;
 
     void run()
     {
         this->loop->after(20s, [this] {
-            this->ranOut = true;
+            this->hasTimedOut = true;
             this->loop->stop();
         });
         this->loop->run();
-        REQUIRE_FALSE(this->ranOut);
+        REQUIRE_FALSE(this->hasTimedOut);
     }
 };
 
@@ -44,7 +44,7 @@
 }
 
 /** Sends calls one after another and returns their results. */
-std::vector<CallResult> sendInTurn(Bench &bench, std::vector<HttpCall> calls)
+std::vector<CallResult> sendSequentially(Bench &bench, std::vector<HttpCall> calls)
 {
     std::vector<CallResult> results;
     std::function<void()> next = [&] {
@@ -80,7 +80,7 @@
                     {"Connection", "close"},
                     {"Content-Length", "99"},
                     {"Bad", "x\r\nInjected: 1"}};
-    const CallResult result = sendInTurn(bench, {call}).front();
+    const CallResult result = sendSequentially(bench, {call}).front();
     CHECK(seen
           == "POST /s/x/../%2e?q=%20# HTTP/1.1\r\nHost: " + peer.address()
                  + "\r\nRouting-Key: k\r\nEmpty:\r\nContent-Length: 8\r\n\r\namount=1");
@@ -95,10 +95,10 @@
     Bench bench;
     std::string address;
     {
-        const ScriptedPeer gone(*bench.loop, [](PeerConnection &) {});
-        address = gone.address();
+        const ScriptedPeer closedPeer(*bench.loop, [](PeerConnection &) {});
+        address = closedPeer.address();
     }
-    const CallResult result = sendInTurn(bench, {callTo(address, "POST")}).front();
+    const CallResult result = sendSequentially(bench, {callTo(address, "POST")}).front();
     CHECK(result.outcome == CallOutcome::NotSent);
     CHECK_FALSE(result.mayHaveRun);
 }
@@ -134,7 +134,7 @@
         });
         self = &peer;
         std::vector<HttpCall> calls(static_cast<std::size_t>(target), callTo(peer.address(), method));
-        const CallResult result = sendInTurn(bench, calls).back();
+        const CallResult result = sendSequentially(bench, calls).back();
         INFO("cut at " << cut << " of " << whole.size() << ", " << method << (reused ? ", reused" : ""));
         CHECK(peer.accepted == 1);
         CHECK(peer.requests == target);
@@ -257,11 +257,11 @@
             connection.send(Plain);
             return;
         }
-        const std::string stray = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nSTRAY";
-        connection.send(delay == 0ms ? Plain + stray : Plain);
+        const std::string surplusAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nSTRAY";
+        connection.send(delay == 0ms ? Plain + surplusAnswer : Plain);
         if (delay > 0ms) {
-            bench.loop->after(delay, [&, stray] {
-                self->find(1)->send(stray);
+            bench.loop->after(delay, [&, surplusAnswer] {
+                self->find(1)->send(surplusAnswer);
             });
         }
     });
@@ -293,20 +293,20 @@
     Bench bench;
     ScriptedPeer *self = nullptr;
     std::size_t sent = 0;
-    std::function<void()> drip = [&] {
+    std::function<void()> sendNextByte = [&] {
         PeerConnection *connection = self->find(1);
         if (connection != nullptr && sent < Chunked.size() - (inTime ? 0 : 3)) {
             connection->send(Chunked.substr(sent++, 1));
-            bench.loop->after(100us, drip);
+            bench.loop->after(100us, sendNextByte);
         }
     };
     ScriptedPeer peer(*bench.loop, [&](PeerConnection &) {
-        drip();
+        sendNextByte();
     });
     self = &peer;
     HttpCall call = callTo(peer.address(), "GET");
     call.timeout = inTime ? 10s : 100ms;
-    const CallResult result = sendInTurn(bench, {call}).front();
+    const CallResult result = sendSequentially(bench, {call}).front();
     CHECK(result.outcome == (inTime ? CallOutcome::Answered : CallOutcome::TimedOut));
     CHECK(result.answer.body == (inTime ? "hello" : ""));
 }
@@ -317,7 +317,7 @@
         std::string bytes;
         CallOutcome outcome;
     };
-    const Case each = GENERATE(
+    const Case testCase = GENERATE(
         Case{"HTTP/1.1 200 OK\r\n\r\nhello", CallOutcome::TruncatedAnswer},
         Case{"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhello", CallOutcome::TruncatedAnswer},
         Case{"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 5\r\n\r\nhello", CallOutcome::TruncatedAnswer},
@@ -333,14 +333,14 @@
     Bench bench;
     ScriptedPeer *self = nullptr;
     ScriptedPeer peer(*bench.loop, [&](PeerConnection &connection) {
-        connection.send(each.bytes);
+        connection.send(testCase.bytes);
         self->close(connection);
     });
     self = &peer;
     HttpCall call = callTo(peer.address(), "GET");
     call.maxAnswerBytes = 32;
-    INFO(each.bytes.substr(0, 60));
-    CHECK(sendInTurn(bench, {call}).front().outcome == each.outcome);
+    INFO(testCase.bytes.substr(0, 60));
+    CHECK(sendSequentially(bench, {call}).front().outcome == testCase.outcome);
 }
 
 TEST_CASE("calls beyond the maximum of connections to a peer wait, and are reported as not sent when they time out")
@@ -382,7 +382,7 @@
     first.expectedEcho = {"request-name", "one"};
     HttpCall second = first;
     second.expectedEcho.value = "two";
-    const std::vector<CallResult> results = sendInTurn(bench, {first, second, first});
+    const std::vector<CallResult> results = sendSequentially(bench, {first, second, first});
     REQUIRE(results[0].outcome == CallOutcome::Answered);
     REQUIRE(results[1].outcome == CallOutcome::ConnectionLost);
     REQUIRE(results[1].mayHaveRun);
@@ -408,7 +408,7 @@
     call.readUntilClose = true;
     HttpCall cut = callTo(resetting.address(), "GET");
     cut.readUntilClose = true;
-    const std::vector<CallResult> results = sendInTurn(bench, {call, cut, callTo(closing.address(), "GET")});
+    const std::vector<CallResult> results = sendSequentially(bench, {call, cut, callTo(closing.address(), "GET")});
     REQUIRE(results[0].outcome == CallOutcome::Answered);
     REQUIRE(results[0].answer.body == "hello");
     REQUIRE(results[1].outcome != CallOutcome::Answered);
--- a/tests/HttpServerTest.cpp
+++ b/tests/HttpServerTest.cpp
@@ -65,11 +65,11 @@
             exchange->answer(textAnswer("now"));
         });
     });
-    int left = 40;
+    int remaining = 40;
     std::function<void()> next = [&] {
         bench.client->send(bench.call("GET"), [&](const CallResult &result) {
             CHECK(result.answer.body == "now");
-            if (--left == 0) {
+            if (--remaining == 0) {
                 bench.loop->stop();
             } else {
                 next();
@@ -91,13 +91,13 @@
     const std::string bytes = "POST /slow HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\n\r\nbody";
     const int socket = bench.connect();
     std::size_t sent = 0;
-    std::function<void()> drip = [&] {
+    std::function<void()> sendNextByte = [&] {
         REQUIRE(::send(socket, &bytes[sent++], 1, MSG_NOSIGNAL) == 1);
         if (sent < bytes.size()) {
-            bench.loop->after(100us, drip);
+            bench.loop->after(100us, sendNextByte);
         }
     };
-    bench.loop->post(drip);
+    bench.loop->post(sendNextByte);
     bench.loop->watch(socket, {.readable = true}, [&](loop::Readiness) {
         bench.loop->stop();
     });
@@ -162,30 +162,30 @@
         std::size_t body;
         int status;
     };
-    const Case each = GENERATE(Case{5000, 0, 431}, Case{12000, 0, 431}, Case{0, 1001, 413}, Case{0, 100000, 413});
+    const Case testCase = GENERATE(Case{5000, 0, 431}, Case{12000, 0, 431}, Case{0, 1001, 413}, Case{0, 100000, 413});
     ServerBench<TestType> bench;
-    int handed = 0;
+    int handedOver = 0;
     bench.listen([&](const std::shared_ptr<Exchange> &) {
-        ++handed;
+        ++handedOver;
     });
     HttpCall call = bench.call("POST");
-    call.headers = {{"Big", std::string(each.header, 'h')}};
-    call.body = std::string(each.body, 'b');
+    call.headers = {{"Big", std::string(testCase.header, 'h')}};
+    call.body = std::string(testCase.body, 'b');
     const CallResult result = bench.send(call);
-    INFO(each.header << " " << each.body);
-    CHECK(result.answer.status == each.status);
+    INFO(testCase.header << " " << testCase.body);
+    CHECK(result.answer.status == testCase.status);
     REQUIRE(findHeader(result.answer.headers, "Request-Ran") != nullptr);
     CHECK(*findHeader(result.answer.headers, "Request-Ran") == "no");
     CHECK(*findHeader(result.answer.headers, "Content-Type") == "application/problem+json");
-    CHECK(handed == 0);
+    CHECK(handedOver == 0);
 }
 
 TEMPLATE_TEST_CASE("an endless chunked body is bounded", "", HttpServer, PipelineServer)
 {
     ServerBench<TestType> bench;
-    int handed = 0;
+    int handedOver = 0;
     bench.listen([&](const std::shared_ptr<Exchange> &) {
-        ++handed;
+        ++handedOver;
     });
     const int socket = bench.connect();
     std::string bytes = "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -199,7 +199,7 @@
     bench.run();
     bench.loop->unwatch(socket);
     close(socket);
-    CHECK(handed == 0);
+    CHECK(handedOver == 0);
 }
 
 /*
--- a/tests/PipelineServerTest.cpp
+++ b/tests/PipelineServerTest.cpp
@@ -10,10 +10,10 @@
 
 namespace {
 
-/** Sends @p bytes and reads until @p enough returns true for what was received, or the connection is closed. */
-std::string talk(ServerBench<PipelineServer> &bench,
-                 const std::string &bytes,
-                 const std::function<bool(const std::string &)> &enough)
+/** Sends @p bytes and reads until @p isEnough returns true for what was received, or the connection is closed. */
+std::string sendAndReceive(ServerBench<PipelineServer> &bench,
+                           const std::string &bytes,
+                           const std::function<bool(const std::string &)> &isEnough)
 {
     const int socket = bench.connect();
     REQUIRE(::send(socket, bytes.data(), bytes.size(), MSG_NOSIGNAL) > 0);
@@ -22,7 +22,7 @@
         std::array<char, 4096> part{};
         const ssize_t count = recv(socket, part.data(), part.size(), MSG_DONTWAIT);
         seen.append(part.data(), count > 0 ? static_cast<std::size_t>(count) : 0);
-        if (count == 0 || enough(seen)) {
+        if (count == 0 || isEnough(seen)) {
             bench.loop->stop();
         }
     });
@@ -66,9 +66,10 @@
             }
         }
     });
-    const std::string seen = talk(bench, get("/one") + get("/two") + get("/three"), [](const std::string &text) {
-        return contains(text, "for /three");
-    });
+    const std::string seen =
+        sendAndReceive(bench, get("/one") + get("/two") + get("/three"), [](const std::string &text) {
+            return contains(text, "for /three");
+        });
     CHECK(held.size() == 3);
     CHECK(seen.find("for /one") < seen.find("for /two"));
     CHECK(seen.find("for /two") < seen.find("for /three"));
@@ -82,20 +83,20 @@
 TEST_CASE("an unsafe request waits for those before it and delays those behind it")
 {
     ServerBench<PipelineServer> bench;
-    std::vector<std::string> begun;
+    std::vector<std::string> started;
     std::vector<std::shared_ptr<Exchange>> held;
     bench.listen([&](const std::shared_ptr<Exchange> &exchange) {
-        begun.push_back(exchange->request().target);
+        started.push_back(exchange->request().target);
         held.push_back(exchange);
         bench.loop->after(1ms, [&, number = held.size() - 1] {
             CHECK(held.size() == number + 1);
             held[number]->answer(textAnswer("for " + held[number]->request().target));
         });
     });
-    talk(bench, get("/before") + post("/order") + get("/after"), [](const std::string &text) {
+    sendAndReceive(bench, get("/before") + post("/order") + get("/after"), [](const std::string &text) {
         return contains(text, "for /after");
     });
-    CHECK(begun == std::vector<std::string>{"/before", "/order", "/after"});
+    CHECK(started == std::vector<std::string>{"/before", "/order", "/after"});
 }
 
 /*
@@ -106,19 +107,20 @@
           "waiting behind")
 {
     ServerBench<PipelineServer> bench;
-    std::vector<std::string> begun;
+    std::vector<std::string> started;
     bench.listen([&](const std::shared_ptr<Exchange> &exchange) {
-        begun.push_back(exchange->request().target);
+        started.push_back(exchange->request().target);
         bench.loop->after(5ms, [&, exchange] {
             bench.server->stopAccepting();
             CHECK(bench.server->inProgress() == 1);
             exchange->answer(textAnswer("for " + exchange->request().target));
         });
     });
-    const std::string seen = talk(bench, post("/order") + get("/behind") + get("/further"), [](const std::string &) {
-        return false;
-    });
-    CHECK(begun == std::vector<std::string>{"/order"});
+    const std::string seen =
+        sendAndReceive(bench, post("/order") + get("/behind") + get("/further"), [](const std::string &) {
+            return false;
+        });
+    CHECK(started == std::vector<std::string>{"/order"});
     CHECK(contains(seen, "Connection: close"));
     CHECK(contains(seen, "for /order"));
     CHECK_FALSE(contains(seen, "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 11"));
@@ -132,13 +134,13 @@
 TEST_CASE("a caller that disconnects abandons each of its pipelined requests")
 {
     ServerBench<PipelineServer> bench;
-    int gone = 0;
+    int abandoned = 0;
     int socket = -1;
     std::vector<std::shared_ptr<Exchange>> held;
     bench.listen([&](const std::shared_ptr<Exchange> &exchange) {
         held.push_back(exchange);
         exchange->onAbandoned([&] {
-            if (++gone == 3) {
+            if (++abandoned == 3) {
                 bench.loop->stop();
             }
         });
@@ -150,7 +152,7 @@
     const std::string bytes = get("/one") + get("/two") + get("/three");
     REQUIRE(::send(socket, bytes.data(), bytes.size(), MSG_NOSIGNAL) > 0);
     bench.run();
-    CHECK(gone == 3);
+    CHECK(abandoned == 3);
     CHECK(bench.server->inProgress() == 0);
 }
 
@@ -165,20 +167,20 @@
                                         "Transfer-Encoding: gzip, identity\r\n",
                                         "Content-Length : 4\r\n");
     ServerBench<PipelineServer> bench;
-    int handed = 0;
+    int handedOver = 0;
     bench.listen([&](const std::shared_ptr<Exchange> &exchange) {
-        ++handed;
+        ++handedOver;
         exchange->answer(textAnswer("ran"));
     });
     const std::string hidden = "0\r\n\r\n" + get("/hidden");
     const std::string seen =
-        talk(bench, "POST / HTTP/1.1\r\nHost: a\r\n" + fields + "\r\n" + hidden, [](const std::string &) {
+        sendAndReceive(bench, "POST / HTTP/1.1\r\nHost: a\r\n" + fields + "\r\n" + hidden, [](const std::string &) {
             return false;
         });
     INFO(fields);
     CHECK(contains(seen, "HTTP/1.1 400"));
     CHECK_FALSE(contains(seen, "ran"));
-    CHECK(handed == 0);
+    CHECK(handedOver == 0);
 }
 
 TEST_CASE("100 Continue is sent after the answers to earlier requests")
@@ -187,12 +189,12 @@
     bench.listen([&](const std::shared_ptr<Exchange> &exchange) {
         exchange->answer(textAnswer("for " + exchange->request().target));
     });
-    const std::string seen =
-        talk(bench,
-             get("/before") + "POST /x HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n",
-             [](const std::string &text) {
-                 return contains(text, "100 Continue");
-             });
+    const std::string seen = sendAndReceive(
+        bench,
+        get("/before") + "POST /x HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n",
+        [](const std::string &text) {
+            return contains(text, "100 Continue");
+        });
     CHECK(seen.find("for /before") < seen.find("100 Continue"));
 }
 
@@ -200,11 +202,11 @@
 {
     ServerBench<PipelineServer> bench;
     constexpr std::size_t Sent = 500;
-    std::size_t most = 0;
+    std::size_t maxOpen = 0;
     std::size_t open = 0;
     std::size_t done = 0;
     bench.listen([&](const std::shared_ptr<Exchange> &exchange) {
-        most = std::max(most, ++open);
+        maxOpen = std::max(maxOpen, ++open);
         bench.loop->post([&, exchange] {
             --open;
             ++done;
@@ -215,9 +217,9 @@
     for (std::size_t count = 0; count < Sent; ++count) {
         bytes += get("/flood");
     }
-    talk(bench, bytes, [](const std::string &text) {
+    sendAndReceive(bench, bytes, [](const std::string &text) {
         return contains(text, "the last");
     });
     CHECK(done == Sent);
-    CHECK(most <= 32);
+    CHECK(maxOpen <= 32);
 }
--- a/tests/ServerBench.h
+++ b/tests/ServerBench.h
@@ -20,7 +20,7 @@
     std::unique_ptr<loop::EventLoop> loop = loop::EventLoop::create().value();
     std::unique_ptr<HttpClient> client = std::make_unique<HttpClient>(*this->loop);
     std::unique_ptr<Server> server;
-    bool ranOut = false;
+    bool hasTimedOut = false;
 
     void listen(typename Server::Handler handler)
     {
@@ -45,24 +45,24 @@
     void run()
     {
         this->loop->after(std::chrono::seconds(20), [this] {
-            this->ranOut = true;
+            this->hasTimedOut = true;
             this->loop->stop();
         });
         this->loop->run();
-        REQUIRE_FALSE(this->ranOut);
+        REQUIRE_FALSE(this->hasTimedOut);
     }
 
     CallResult send(const HttpCall &call)
     {
-        CallResult got;
+        CallResult received;
         this->loop->post([&] {
             this->client->send(call, [&](CallResult result) {
-                got = std::move(result);
+                received = std::move(result);
                 this->loop->stop();
             });
         });
         this->run();
-        return got;
+        return received;
     }
 
     int connect() const
