--- a/src/net/PipelineConnection.cpp
+++ b/src/net/PipelineConnection.cpp
@@ -52,7 +52,7 @@
 
 PipelineConnection::~PipelineConnection()
 {
-    this->close(false);
+    this->disconnect(false);
 }
 
 void PipelineConnection::start()
@@ -65,7 +65,7 @@
     const std::shared_ptr<PipelineConnection> self = this->shared_from_this();
     const bool sent = !ready.writable || this->flush();
     if (!sent || (ready.readable && !this->readSocket())) {
-        this->close(true);
+        this->disconnect(true);
         return;
     }
     this->parse();
@@ -229,7 +229,7 @@
         any = true;
     }
     if (any && !this->flush()) {
-        this->close(true);
+        this->disconnect(true);
     }
     return any;
 }
@@ -243,7 +243,7 @@
     this->isContinueSent = true;
     this->sendBuffer += ContinueAnswer;
     if (!this->flush()) {
-        this->close(true);
+        this->disconnect(true);
     }
 }
 
@@ -307,7 +307,7 @@
     const auto idle = now - this->lastActivityAt;
     if (this->isSendingSideClosed) {
         if (idle > CallerCloseTimeout) {
-            this->close(false);
+            this->disconnect(false);
         }
         return;
     }
@@ -315,13 +315,13 @@
         return;
     }
     if (!this->sendBuffer.empty()) {
-        this->close(true);
+        this->disconnect(true);
     } else if (this->exchanges.empty()) {
         this->closeSendingSide();
     }
 }
 
-void PipelineConnection::close(bool runAbandonedTasks)
+void PipelineConnection::disconnect(bool runAbandonedTasks)
 {
     if (std::exchange(this->isClosed, true)) {
         return;
--- a/src/net/PipelineConnection.h
+++ b/src/net/PipelineConnection.h
@@ -52,7 +52,7 @@
     void closeIfIdle(BootTime now);
 
     /** Closes the socket. @param runAbandonedTasks whether to run the abandoned tasks of requests in progress */
-    void close(bool runAbandonedTasks);
+    void disconnect(bool runAbandonedTasks);
 
 private:
     void onReady(loop::Readiness ready);
--- a/src/net/PipelineServer.cpp
+++ b/src/net/PipelineServer.cpp
@@ -161,7 +161,7 @@
     this->stopAccepting();
     this->parts->host.loop.cancel(this->parts->sweepTimer);
     for (const std::shared_ptr<PipelineConnection> &connection : this->parts->openConnections()) {
-        connection->close(false);
+        connection->disconnect(false);
     }
 }
 
--- a/tests/HttpServerTest.cpp
+++ b/tests/HttpServerTest.cpp
@@ -164,9 +164,9 @@
     };
     const Case testCase = GENERATE(Case{5000, 0, 431}, Case{12000, 0, 431}, Case{0, 1001, 413}, Case{0, 100000, 413});
     ServerBench<TestType> bench;
-    int handedOver = 0;
+    int handlerCalls = 0;
     bench.listen([&](const std::shared_ptr<Exchange> &) {
-        ++handedOver;
+        ++handlerCalls;
     });
     HttpCall call = bench.call("POST");
     call.headers = {{"Big", std::string(testCase.header, 'h')}};
@@ -177,15 +177,15 @@
     REQUIRE(findHeader(result.answer.headers, "Request-Ran") != nullptr);
     CHECK(*findHeader(result.answer.headers, "Request-Ran") == "no");
     CHECK(*findHeader(result.answer.headers, "Content-Type") == "application/problem+json");
-    CHECK(handedOver == 0);
+    CHECK(handlerCalls == 0);
 }
 
 TEMPLATE_TEST_CASE("an endless chunked body is bounded", "", HttpServer, PipelineServer)
 {
     ServerBench<TestType> bench;
-    int handedOver = 0;
+    int handlerCalls = 0;
     bench.listen([&](const std::shared_ptr<Exchange> &) {
-        ++handedOver;
+        ++handlerCalls;
     });
     const int socket = bench.connect();
     std::string bytes = "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -199,7 +199,7 @@
     bench.run();
     bench.loop->unwatch(socket);
     close(socket);
-    CHECK(handedOver == 0);
+    CHECK(handlerCalls == 0);
 }
 
 /*
--- a/tests/PipelineServerTest.cpp
+++ b/tests/PipelineServerTest.cpp
@@ -167,9 +167,9 @@
                                         "Transfer-Encoding: gzip, identity\r\n",
                                         "Content-Length : 4\r\n");
     ServerBench<PipelineServer> bench;
-    int handedOver = 0;
+    int handlerCalls = 0;
     bench.listen([&](const std::shared_ptr<Exchange> &exchange) {
-        ++handedOver;
+        ++handlerCalls;
         exchange->answer(textAnswer("ran"));
     });
     const std::string hidden = "0\r\n\r\n" + get("/hidden");
@@ -180,7 +180,7 @@
     INFO(fields);
     CHECK(contains(seen, "HTTP/1.1 400"));
     CHECK_FALSE(contains(seen, "ran"));
-    CHECK(handedOver == 0);
+    CHECK(handlerCalls == 0);
 }
 
 TEST_CASE("100 Continue is sent after the answers to earlier requests")
