--- a/src/net/ClientCall.h
+++ b/src/net/ClientCall.h
@@ -28,7 +28,7 @@
     /** The socket opened for this call, or -1. */
     int openedSocket = -1;
 
-    /** libcurl has started to write the request. */
+    /** libcurl was about to write the request's first byte, so the request may have reached the peer. */
     bool sent = false;
     /** The connection to be reused was closed or had unsolicited bytes to read; nothing was sent on it. */
     bool staleConnection = false;
--- a/src/net/PipelineConnection.h
+++ b/src/net/PipelineConnection.h
@@ -40,6 +40,7 @@
     PipelineConnection(const PipelineConnection &) = delete;
     PipelineConnection &operator=(const PipelineConnection &) = delete;
 
+    /** Starts to watch the socket for requests. */
     void start();
 
     /** Passes the requests that may be processed to the handler, and writes the answers that are next in order. */
--- a/src/net/ServerExchange.h
+++ b/src/net/ServerExchange.h
@@ -41,15 +41,19 @@
     void proceed() override;
     void refuse(HttpAnswer answer) override;
 
-    /** Holds the body of a caller that waits for "100 Continue". The connection must be suspended until proceed() or
-     * refuse(). */
+    /**
+     * Holds the body of a caller that waits for "100 Continue". The connection must be suspended until proceed() or
+     * refuse().
+     */
     void holdBody(ExchangeHost &to, std::size_t length);
 
     /** Runs the task of onEnded(), once. */
     void notifyBodyEnded(bool whole);
 
-    /** Passes the complete request to the handler. The connection must be suspended afterwards if the state is
-     * HandedOver. */
+    /**
+     * Passes the complete request to the handler. The connection must be suspended afterwards if the state is
+     * HandedOver.
+     */
     void handOver(ExchangeHost &to, const std::function<void(std::shared_ptr<Exchange>)> &handler);
 
     /**
