--- a/include/net/ExpectedBody.h
+++ b/include/net/ExpectedBody.h
@@ -29,8 +29,10 @@
     /** Lets the caller send the body. Has no effect after the caller has disconnected. */
     virtual void proceed() = 0;
 
-    /** Answers the request without reading its body, in place of proceed(). Has no effect after the caller has
-     * disconnected. */
+    /**
+     * Answers the request without reading its body, in place of proceed(). Has no effect after the caller has
+     * disconnected.
+     */
     virtual void refuse(HttpAnswer answer) = 0;
 
     /**
--- a/include/net/HttpServerSettings.h
+++ b/include/net/HttpServerSettings.h
@@ -19,8 +19,10 @@
     std::size_t maxHeaderBytes = 8UL * 1024;
     /** Maximum size of a request's body; a larger one is answered with 413. */
     std::size_t maxBodyBytes = 1024UL * 1024;
-    /** A body that is too large is read up to this size and discarded. Otherwise a caller that is still sending would
-     * get a connection reset in place of the 413. */
+    /**
+     * A body that is too large is read up to this size and discarded. Otherwise a caller that is still sending would
+     * get a connection reset in place of the 413.
+     */
     std::size_t maxDiscardedBytes = 64UL * 1024 * 1024;
     /** Maximum number of open connections; further ones wait in the kernel's backlog. */
     unsigned maxConnections = 4096;
--- a/tests/PipelineServerTest.cpp
+++ b/tests/PipelineServerTest.cpp
@@ -103,8 +103,7 @@
  * Failure: an agent stops while three pipelined requests are in flight. The caller retries the requests behind an
  * answer that closes the connection, so any of them that was passed to the handler runs twice.
  */
-TEST_CASE("a stop answers the requests in progress, closes the connection after the last of them, and drops those "
-          "waiting behind")
+TEST_CASE("a stop answers requests in progress, then closes the connection and drops those waiting behind")
 {
     ServerBench<PipelineServer> bench;
     std::vector<std::string> started;
