--- a/include/disk/Storage.h
+++ b/include/disk/Storage.h
@@ -12,7 +12,7 @@
 
 namespace bergamotweir::disk {
 
-/** What the writer did so far. */
+/** Counters of the storage since open(). */
 struct StorageCounters {
     std::uint64_t syncs = 0;
     std::uint64_t entries = 0;
@@ -20,51 +20,51 @@
     std::chrono::nanoseconds maxSyncTime{0};
 };
 
-/** Told on the writer's thread. */
+/** Callbacks of the storage; called on the writer thread. */
 struct StorageCallbacks {
-    /** Everything up to this ticket is durable. */
+    /** Called when every batch up to and including this ticket is durable. */
     std::function<void(raft::Ticket)> synced;
-    /** Nothing more will be made durable: disk full, sync failed. Told once. */
+    /** Called at most once, when writing failed (disk full, sync failed): no later batch becomes durable. */
     std::function<void(const Findings &)> failed;
 };
 
 /**
- * A replica's data folder: log segments, the file of term, vote and disk id, and the snapshot.
- * All writing happens on one thread of its own; batches that wait while a sync runs share the next one.
- * Owned by ReplicaNode; the folder is locked while it lives.
+ * The data folder of a replica: log segments, the metadata file (term, vote, disk id) and the snapshot.
+ * A dedicated thread does all writing; batches queued during a sync share the next one.
+ * Owned by ReplicaNode; the folder stays locked for the lifetime of the object.
  */
 class Storage
 {
 public:
     /**
-     * Opens or creates the folder.
-     * @param folder data folder, created if need be
-     * @param replicaId a folder of another replica is refused
-     * @param files file calls, replaced by tests
-     * @return the storage with its state loaded, or each thing found wrong with its file and offset
+     * Opens the data folder and loads its state.
+     * @param folder data folder, created if it does not exist
+     * @param replicaId id of this replica; the folder of another replica is refused
+     * @param files file system calls, replaced by tests
+     * @return the storage with its state loaded, or the errors found, each with its file and offset
      */
     static Result<std::unique_ptr<Storage>> open(const std::filesystem::path &folder,
                                                  const std::string &replicaId,
                                                  FileOperations files = systemFileOperations());
 
-    /** @return id of the replica that a data folder belongs to; empty for one that doesn't belong to any yet */
+    /** @return the id of the replica that owns a data folder; empty if the folder has no metadata file yet */
     static Result<std::string> replicaIdOf(const std::filesystem::path &folder);
 
-    /** Finishes what was submitted, then ends the thread. */
+    /** Writes the submitted batches, then joins the writer thread. */
     ~Storage();
     Storage(const Storage &) = delete;
     Storage &operator=(const Storage &) = delete;
 
-    /** @return what was on disk at open(); given away once */
+    /** @return the state that was on disk at open(); moved out, so it can be taken only once */
     raft::PersistentState takeState();
 
-    /** Starts the writer. */
+    /** Starts the writer thread. */
     void start(StorageCallbacks callbacks);
 
-    /** Queues a batch. Tickets go upwards. */
+    /** Queues a batch for writing. Tickets must increase from batch to batch. */
     void submit(raft::WriteDisk batch);
 
-    /** @return counters; any thread */
+    /** @return the counters; can be called from any thread */
     StorageCounters counters() const;
 
 private:
--- a/include/raft/Action.h
+++ b/include/raft/Action.h
@@ -9,12 +9,12 @@
 
 namespace bergamotweir::raft {
 
-/** Names a request to the core in its answer. */
+/** Identifies a request to the core; the answer carries the same id. */
 using RequestId = std::uint64_t;
 
-/** Hand a message to the transport; it may be lost, doubled or late. */
+/** Pass a message to the transport, which may lose, duplicate, delay or reorder it. */
 struct SendMessage {
-    /** IP:port. */
+    /** Destination as IP:port. */
     std::string address;
     wire::RaftMessage message;
 };
@@ -24,50 +24,50 @@
     wire::LogEntry entry;
 };
 
-/** Replace the state machine by a snapshot. */
+/** Replace the state of the state machine by a snapshot. */
 struct RestoreSnapshot {
     SnapshotPtr snapshot;
 };
 
-/** Serialise the state machine as it is now and call RaftCore::snapshotTaken(). */
+/** Serialise the current state of the state machine and call RaftCore::snapshotTaken(). */
 struct TakeSnapshot {
     std::uint64_t index = 0;
 };
 
-/** This replica leads, and has applied everything committed before its term. */
+/** This replica is the leader and has applied every entry committed before its term. */
 struct BecameLeader {
     std::uint64_t term = 0;
 };
 
-/** This replica, told before that it leads, leads no more. */
+/** This replica is no longer the leader. Emitted only after BecameLeader. */
 struct LostLeadership {
     std::uint64_t term = 0;
 };
 
-/** Answer to RaftCore::confirm(). */
+/** Answer to RaftCore::confirm(): whether a quorum confirmed that this replica is still the leader. */
 struct Confirmed {
     RequestId request = 0;
     bool leads = false;
 };
 
-/** How a membership change ended. */
+/** Outcome of a membership change. Unknown: leadership was lost before the logged change was committed. */
 enum class ChangeOutcome { Committed, Refused, Unknown };
 
 /** Answer to RaftCore::changeMember(). */
 struct MemberChanged {
     RequestId request = 0;
     ChangeOutcome outcome = ChangeOutcome::Refused;
-    /** Place of the change in the log unless refused. */
+    /** Term and index of the log entry that holds the change; valid unless the change was refused. */
     std::uint64_t term = 0;
     std::uint64_t index = 0;
     Findings findings;
 };
 
-/** Answer to RaftCore::transferLeadership(): leadership is gone, or no voter took it in time. */
+/** Answer to RaftCore::transferLeadership(): leadership was transferred, or the transfer timed out. */
 struct LeadershipTransferEnded {
 };
 
-/** One thing that the shell has to do, in the order given. */
+/** One action for the caller of RaftCore to carry out; actions are carried out in the order given. */
 using Action = std::variant<WriteDisk,
                             SendMessage,
                             ApplyEntry,
--- a/include/raft/DiskOperation.h
+++ b/include/raft/DiskOperation.h
@@ -9,49 +9,49 @@
 
 namespace bergamotweir::raft {
 
-/** Names a batch of disk operations; batches are numbered upwards and synced in order. */
+/** Number of a batch of disk operations. Tickets increase, and batches are synced in their order. */
 using Ticket = std::uint64_t;
 
-/** Keeps the term and whom this replica voted for in it. */
+/** Persists the current term and the candidate that received this replica's vote in it. */
 struct SaveVote {
     std::uint64_t term = 0;
     std::string votedFor;
 };
 
-/** Adds entries behind the last one. */
+/** Appends entries to the end of the log. */
 struct AppendEntries {
     std::vector<wire::LogEntry> entries;
 };
 
-/** Drops the entry at an index and all behind it. */
+/** Removes the entry at an index and all later entries. */
 struct TruncateFrom {
     std::uint64_t index = 0;
 };
 
-/** Keeps a snapshot; the entries it covers may go. */
+/** Persists a snapshot; the entries that it covers can be removed. */
 struct SaveSnapshot {
     SnapshotPtr snapshot;
-    /** Drops every entry: the log doesn't agree with the snapshot. */
+    /** Whether to remove every entry, because the log conflicts with the snapshot. */
     bool resetLog = false;
 };
 
-/** One change of what a replica keeps on disk. */
+/** One change to the durable state of a replica. */
 using DiskOperation = std::variant<SaveVote, AppendEntries, TruncateFrom, SaveSnapshot>;
 
-/** Operations to carry out in order and to make durable with as few syncs as possible. */
+/** A batch of operations to execute in order and to make durable with as few syncs as possible. */
 struct WriteDisk {
     Ticket ticket = 0;
     std::vector<DiskOperation> operations;
 };
 
-/** What a replica finds on its disk at its start. */
+/** Durable state of a replica, loaded at its start. */
 struct PersistentState {
     std::string diskId;
     std::uint64_t term = 0;
     std::string votedFor;
     /** Null before the first snapshot. */
     SnapshotPtr snapshot;
-    /** Contiguous, beginning right behind the snapshot. */
+    /** Contiguous; the first entry directly follows the snapshot. */
     std::vector<wire::LogEntry> entries;
 };
 
--- a/include/raft/Log.h
+++ b/include/raft/Log.h
@@ -9,36 +9,36 @@
 
 namespace bergamotweir::raft {
 
-/** The entries that a replica holds in memory, behind a base that a snapshot covers. Owned by its RaftCore. */
+/** The log entries that a replica holds in memory. A snapshot covers everything up to the base. Owned by RaftCore. */
 class Log
 {
 public:
-    /** @return index of the newest entry, the base when there is none */
+    /** @return the index of the last entry, or the base if there is none */
     std::uint64_t lastIndex() const;
     std::uint64_t lastTerm() const;
 
-    /** @return index of the newest entry no longer held */
+    /** @return the index of the last entry that is no longer in memory */
     std::uint64_t base() const;
 
-    /** @return the term of the entry at an index; none when it isn't held and isn't the base */
+    /** @return the term of the entry at an index; none if the index is neither in memory nor the base */
     std::optional<std::uint64_t> termAt(std::uint64_t index) const;
 
     /** @param index base() < index <= lastIndex() */
     const wire::LogEntry &at(std::uint64_t index) const;
 
-    /** @return the first index that has the same term as the one at @p index, above the base */
-    std::uint64_t firstOfTerm(std::uint64_t index) const;
+    /** @return the first index above the base in the run of entries that have the term of the entry at @p index */
+    std::uint64_t firstIndexOfTerm(std::uint64_t index) const;
 
-    /** @param entry its index follows lastIndex() */
+    /** @param entry its index must be lastIndex() + 1 */
     void append(wire::LogEntry entry);
 
-    /** Drops the entry at @p index and all behind it. */
+    /** Removes the entry at @p index and all later entries. */
     void truncateFrom(std::uint64_t index);
 
-    /** Drops entries up to and including @p index, which is held or is the base. */
+    /** Removes the entries up to and including @p index, which must be at most lastIndex(). */
     void dropThrough(std::uint64_t index);
 
-    /** Drops everything; the base becomes the place given. */
+    /** Removes every entry and sets the base to the given index and term. */
     void reset(std::uint64_t index, std::uint64_t term);
 
 private:
--- a/include/raft/MembershipPlan.h
+++ b/include/raft/MembershipPlan.h
@@ -10,29 +10,29 @@
 
 namespace bergamotweir::raft {
 
-/** What the leader knows when it looks after the membership of its group. */
+/** The leader's view of its group, input of the decision on the next membership change. */
 struct MembershipFacts {
     wire::Membership members;
-    /** Replicas that ask to be taken in and aren't members. */
+    /** Replicas that requested to join and are not members yet. */
     std::vector<wire::Replica> joiners;
-    /** Ids of members that have been silent for so long that they count as gone. */
+    /** Ids of the members whose silence exceeded the time-out after which they count as lost. */
     std::set<std::string> unresponsive;
-    /** Voters that the group should have: enough that what it acknowledged outlives the losses to be borne. */
+    /** Target number of voters, chosen so that acknowledged entries survive the tolerated number of lost replicas. */
     std::size_t wantedVoters = 0;
 };
 
 /**
- * Decides the next change of the membership that the group can make by itself.
+ * Decides the next membership change that the group can make without an operator.
  *
- * Guards against a group that wastes away. It shows when a VM comes back with an empty disk, or another VM takes its
- * place: the old replica never answers again, and after the next two losses nothing can be committed. The newcomer is
- * taken in first, and the replica that it stands for is removed only once the newcomer votes, so that at no point
- * fewer voters than before hold what was acknowledged.
- * @return the change, or nothing when there is none to make
+ * When a VM restarts with an empty disk or is replaced by another VM, its old replica never answers again. Without
+ * automatic replacement the group would lose fault tolerance with each such event, and after two more losses it could
+ * commit nothing. The new replica is added first, and the old one is removed only after the new one is a voter, so the
+ * number of voters that hold the acknowledged entries never decreases.
+ * @return the change, or nothing if none is needed
  */
 std::optional<wire::ChangeMember> nextChange(const MembershipFacts &facts);
 
-/** @return voters of a membership */
+/** @return the number of voters in a membership */
 std::size_t countVoters(const wire::Membership &membership);
 
 } // namespace bergamotweir::raft
--- a/include/raft/Progress.h
+++ b/include/raft/Progress.h
@@ -7,26 +7,26 @@
 
 namespace bergamotweir::raft {
 
-/** What a leader knows about one other replica. Owned by the RaftCore that leads. */
+/** A leader's replication state of one other replica. Owned by the leader's RaftCore. */
 struct Progress {
     wire::Replica replica;
-    /** The next entry to send. */
-    std::uint64_t next = 1;
-    /** The newest entry that it surely holds on disk. */
-    std::uint64_t match = 0;
-    /** Where its log agrees with ours is not known yet: send no entries. */
-    bool probing = true;
-    /** A message is due whatever there is to send. */
+    /** Index of the next entry to send. */
+    std::uint64_t nextIndex = 1;
+    /** Index of the last entry that the replica is known to hold on disk. */
+    std::uint64_t matchIndex = 0;
+    /** Whether the last index at which both logs match is still unknown; no entries are sent until it is known. */
+    bool isProbing = true;
+    /** Whether a message is due even if there are no entries to send. */
     bool sendDue = true;
-    BootTime lastSent;
-    /** When it last answered in this term. */
-    BootTime lastAnswer;
-    /** The newest confirmation round that it answered. */
+    BootTime lastSentAt;
+    /** Time of the replica's last answer in this term. */
+    BootTime lastAnswerAt;
+    /** The latest confirmation round (ReadIndex) that the replica answered. */
     std::uint64_t answeredRound = 0;
-    /** Set while a snapshot is on its way to it. */
+    /** Snapshot that is being sent to the replica; null if there is none. */
     SnapshotPtr snapshot;
     std::uint64_t snapshotOffset = 0;
-    BootTime chunkSent;
+    BootTime chunkSentAt;
     bool chunkDue = false;
 };
 
--- a/include/raft/RaftCore.h
+++ b/include/raft/RaftCore.h
@@ -21,78 +21,90 @@
 
 namespace bergamotweir::raft {
 
-/** Who a replica is, and how it comes into its group. */
+/** Identity of a replica, and how it joins its group. */
 struct Self {
     std::string id;
-    /** IP:port of its replica endpoint, sent along so that answers find it. */
+    /** IP:port of its replica endpoint, sent in every message as the address for the answer. */
     std::string address;
-    /** The first voters, without disk ids; read only while nothing is on disk. */
+    /** Initial voters, without disk ids; used only if the disk holds neither a snapshot nor a membership entry. */
     wire::Membership initial;
-    /** With nothing on disk, wait to be added. */
+    /** Whether a replica with an empty disk waits until the group adds it, instead of forming a group. */
     bool join = false;
 };
 
-/** What a replica is in its term. */
+/** Role of a replica in its current term. */
 enum class Role { Follower, PreCandidate, Candidate, Leader };
 
 /**
- * Consensus in the style of Raft for one replica: events and the time go in, actions come out.
- * It makes no system call. Owned by ReplicaNode, or by a test that plays network, disk and clock.
+ * Raft consensus of one replica, without I/O: it takes events and the time, and returns actions.
+ * It makes no system calls. Owned by ReplicaNode, or by a test that simulates the network, disk and clock.
  *
- * A replica is its id together with its disk id. The first group is formed by all the replicas listed and binds their
- * disk ids in entry 1; from then on a message is for one disk only. So a replica that lost or swapped its disk, and
- * with it the votes and entries it acknowledged, is never counted as the one that acknowledged them.
+ * A replica is identified by its id and its disk id. The initial group is formed by all the replicas listed, and its
+ * entry 1 records their disk ids; from then on every message is addressed to one disk. A replica that lost or replaced
+ * its disk, and with it the votes and entries that it acknowledged, therefore never counts as the one that
+ * acknowledged them.
  */
 class RaftCore
 {
 public:
     /**
-     * @param self who this replica is
-     * @param settings times and bounds
-     * @param state what was found on its disk
-     * @param seed makes election timeouts differ between replicas, and be the same again in a replay
-     * @param now present time
+     * @param self identity of this replica
+     * @param settings time-outs and bounds
+     * @param state durable state loaded from its disk
+     * @param seed seed of the random election time-outs, which differ between replicas and repeat in a replay
+     * @param now current time
      */
     RaftCore(Self self, RaftSettings settings, PersistentState state, std::uint64_t seed, BootTime now);
 
-    /** Lets time pass; called a few times per heartbeat. */
+    /** Advances the time and handles time-outs. Must be called several times per heartbeat interval. */
     void tick(BootTime now);
 
-    /** Handles a message; one that is stale, malformed or for another disk is ignored. */
+    /** Handles a message. Stale and malformed messages and those for another disk are ignored. */
     void receive(const wire::RaftMessage &message, BootTime now);
 
-    /** @return the place of the command in the log; none when it surely isn't there: not leader, handing over, full */
+    /**
+     * Appends a command to the log.
+     * @return its term and index; none if it was not appended, because this replica is not the leader, is transferring
+     *         leadership, or has too many uncommitted entries
+     */
     std::optional<wire::Version> propose(std::string command);
 
-    /** Asks a quorum whether this replica still leads; answered by Confirmed. */
+    /** Confirms with a quorum that this replica is still the leader (ReadIndex); answered by Confirmed. */
     void confirm(RequestId request);
 
-    /** Begins a membership change; answered by MemberChanged. */
+    /** Starts a single-server membership change; answered by MemberChanged. */
     void changeMember(RequestId request, const wire::ChangeMember &change);
 
-    /** Gives leadership to a caught-up voter; answered by LeadershipTransferEnded. */
+    /** Transfers leadership to a voter that has caught up; answered by LeadershipTransferEnded. */
     void transferLeadership();
 
-    /** Everything up to this ticket is on disk. */
+    /** Reports that every batch up to and including this ticket is durable. */
     void diskSynced(Ticket ticket);
 
-    /** The disk can't be written: this replica acts no more, for what it promised may be gone. */
+    /**
+     * Reports that the disk cannot be written. The core stops for good, as it can no longer make votes and acknowledged
+     * entries durable.
+     */
     void diskFailed();
 
-    /** @param index what TakeSnapshot named @param data the state machine there */
+    /**
+     * Delivers the snapshot requested by TakeSnapshot.
+     * @param index index of the TakeSnapshot action
+     * @param data serialised state machine at that index
+     */
     void snapshotTaken(std::uint64_t index, std::string data);
 
-    /** @return what is to be done now; called after each turn of events, as it also gathers their proposals */
+    /** @return the actions due now. Called once after each batch of events, so that their proposals share messages. */
     std::vector<Action> takeActions();
 
     Role role() const;
-    /** @return leads and has applied everything committed before its term */
+    /** @return true if this replica is the leader and has applied every entry committed before its term */
     bool isLeader() const;
     bool stopped() const;
     std::uint64_t term() const;
     const std::string &diskId() const;
     const std::string &votedFor() const;
-    /** @return empty when unknown */
+    /** @return the id of the leader; empty if unknown */
     const std::string &leaderId() const;
     const wire::Membership &membership() const;
     /** @return ids of the other members that have not answered this leader for longer than @p timeout */
@@ -102,11 +114,11 @@
     const SnapshotPtr &lastSnapshot() const;
 
 private:
-    struct Held {
+    struct DelayedMessage {
         Ticket ticket;
         SendMessage send;
     };
-    struct Appended {
+    struct PendingAppend {
         Ticket ticket;
         std::uint64_t lastIndex;
     };
@@ -117,7 +129,7 @@
     struct PendingChange {
         RequestId request;
         wire::Replica replica;
-        /** 0 while the replica to be added is asked for its disk id. */
+        /** Index of the entry of the change; 0 while the replica to add has not reported its disk id. */
         std::uint64_t index;
         BootTime askedAt;
         BootTime deadline;
@@ -135,9 +147,9 @@
         std::string data;
     };
 
-    // RaftCore.cpp: messages, terms, disk.
-    bool isForMe(const wire::RaftMessage &message) const;
-    bool isKnownSender(const wire::RaftMessage &message) const;
+    // RaftCore.cpp: messages, terms and disk operations.
+    bool isAddressedToSelf(const wire::RaftMessage &message) const;
+    bool isFromMember(const wire::RaftMessage &message) const;
     bool acceptTerm(const wire::RaftMessage &message);
     void dispatch(const wire::RaftMessage &message);
     void becomeFollower(std::uint64_t newTerm, const std::string &leader);
@@ -145,7 +157,7 @@
     wire::RaftMessage message(const std::string &to, const std::string &toDisk, std::uint64_t messageTerm) const;
     wire::RaftMessage answerTo(const wire::RaftMessage &request) const;
     void send(const std::string &address, wire::RaftMessage message, Ticket afterTicket);
-    void sendHeld();
+    void sendDelayedMessages();
     template<typename OneAction>
     void emit(OneAction action)
     {
@@ -160,9 +172,9 @@
     void saveVote();
     void truncateFrom(std::uint64_t index);
     void appendEntry(wire::LogEntry entry);
-    std::uint64_t appendOwn(wire::EntryKind kind, std::string payload);
+    std::uint64_t appendAsLeader(wire::EntryKind kind, std::string payload);
 
-    // Membership.cpp: who counts, and changes of it.
+    // Membership.cpp: quorum and membership changes.
     bool hasLoggedMembership() const;
     bool isVoter() const;
     const wire::Replica *findMember(const std::string &id) const;
@@ -173,7 +185,7 @@
     bool wouldKeepQuorum(const wire::Membership &next) const;
     std::optional<wire::Membership> membershipAfter(const wire::ChangeMember &change, std::string &refusal) const;
     void appendChange(const wire::Membership &next);
-    void askIdentity();
+    void requestIdentity();
     void onIdentity(const wire::RaftMessage &message);
     void onMembershipCommitted(const wire::LogEntry &entry);
 
@@ -182,8 +194,8 @@
     bool leaderIsAlive() const;
     bool isUpToDate(const wire::VoteRequest &request) const;
     void startPreVote();
-    void startElection(bool handedOver);
-    void requestVotes(bool preVote, bool handedOver);
+    void startElection(bool isTransfer);
+    void requestVotes(bool preVote, bool isTransfer);
     void countVotes();
     void becomeLeader();
     void onVoteRequest(const wire::RaftMessage &message);
@@ -215,19 +227,19 @@
     void onSnapshotReply(const wire::RaftMessage &message);
     void replySnapshot(const wire::RaftMessage &request, std::uint64_t nextOffset, bool installed);
     void install(SnapshotPtr received);
-    void wantSnapshot();
+    void requestSnapshotIfDue();
 
     const Self self;
     const RaftSettings settings;
     pcg32 random;
     BootTime now;
 
-    std::string ownDisk;
+    std::string ownDiskId;
     std::uint64_t currentTerm = 0;
     std::string vote;
     Log entries;
     SnapshotPtr snapshot;
-    /** Memberships by the index of their entry; the last one is in force. Index 0: the unbound initial list. */
+    /** Memberships by the index of their entry; the last one is in effect. Index 0: initial list without disk ids. */
     std::map<std::uint64_t, wire::Membership> memberships;
 
     Role currentRole = Role::Follower;
@@ -235,22 +247,22 @@
     bool termStartApplied = false;
     std::uint64_t termStartIndex = 0;
     std::string leader;
-    BootTime lastLeaderContact;
+    BootTime lastLeaderContactAt;
     BootTime electionDeadline;
-    std::uint64_t commit = 0;
-    std::uint64_t applied = 0;
+    std::uint64_t committedIndex = 0;
+    std::uint64_t lastApplied = 0;
 
-    std::map<std::string, std::string> votes; ///< Id to disk id of the replicas that granted.
+    std::map<std::string, std::string> votes; ///< Id to disk id of the replicas that granted their vote.
     Ticket electionTicket = 0;
     std::map<std::string, Progress> progresses;
     std::uint64_t round = 0;
-    std::deque<PendingConfirm> confirms;
-    std::optional<PendingChange> change;
+    std::deque<PendingConfirm> pendingConfirms;
+    std::optional<PendingChange> pendingChange;
     std::optional<PendingLeadershipTransfer> leadershipTransfer;
-    std::optional<IncomingSnapshot> incoming;
-    std::uint64_t snapshotWanted = 0;
-    /** Entries more than the setting until the next snapshot; differs between replicas. */
-    std::uint64_t snapshotDelay = 0;
+    std::optional<IncomingSnapshot> incomingSnapshot;
+    std::uint64_t requestedSnapshotIndex = 0;
+    /** Random number of entries added to snapshotEntries, so that replicas take snapshots at different times. */
+    std::uint64_t snapshotJitter = 0;
     Ticket snapshotTicket = 0;
 
     std::vector<DiskOperation> operations;
@@ -258,8 +270,8 @@
     Ticket syncedTicket = 0;
     Ticket voteTicket = 0;
     std::uint64_t durableIndex = 0;
-    std::deque<Appended> appended;
-    std::deque<Held> held;
+    std::deque<PendingAppend> pendingAppends;
+    std::deque<DelayedMessage> delayedMessages;
     std::vector<Action> actions;
 };
 
--- a/include/raft/RaftSettings.h
+++ b/include/raft/RaftSettings.h
@@ -8,29 +8,29 @@
 
 namespace bergamotweir::raft {
 
-/** Times and bounds of the consensus core. Made by RaftSettingsBuilder. */
+/** Time-outs and bounds of the consensus core. Created by RaftSettingsBuilder. */
 struct RaftSettings {
-    /** A follower that hears no leader for a random time between these two starts an election. */
+    /** A follower that has no contact with a leader for a random time between min and max starts an election. */
     std::chrono::milliseconds electionTimeoutMin{150};
     std::chrono::milliseconds electionTimeoutMax{300};
     std::chrono::milliseconds heartbeat{50};
-    /** Largest sum of entry sizes in one append message; a single larger entry travels alone. */
+    /** Maximum sum of entry sizes in one append message; a larger entry is sent in a message of its own. */
     std::size_t appendBytes = std::size_t{512} * 1024;
-    /** Largest piece of a snapshot in one message. */
+    /** Maximum snapshot bytes in one message. */
     std::size_t chunkBytes = std::size_t{512} * 1024;
-    /** Entries sent to a follower and not yet acknowledged by it. */
+    /** Maximum number of entries sent to a follower and not yet acknowledged by it. */
     std::uint64_t inFlightEntries = 4096;
-    /** Entries proposed and not yet committed; more are refused. */
+    /** Maximum number of uncommitted entries; further proposals are refused. */
     std::uint64_t uncommittedEntries = 16384;
-    /** Applied entries after which a snapshot is taken. */
+    /** Minimum number of entries applied between two snapshots. */
     std::uint64_t snapshotEntries = 8192;
-    /** Entries kept in memory behind a snapshot for followers that are only a little late. */
+    /** Entries up to the snapshot that stay in memory, so that a slightly lagging follower needs no snapshot. */
     std::uint64_t trailingEntries = 1024;
-    /** How far behind the leader's commit a learner may be when it is promoted. */
+    /** Maximum number of entries that a learner may lag behind the commit index when it is promoted. */
     std::uint64_t promotionLag = 16;
 };
 
-/** Collects the settings and checks them together. */
+/** Collects the settings and validates them together. */
 class RaftSettingsBuilder
 {
 public:
@@ -40,7 +40,7 @@
     RaftSettingsBuilder &snapshots(std::uint64_t everyEntries, std::uint64_t trailingEntries);
     RaftSettingsBuilder &uncommittedEntries(std::uint64_t value);
 
-    /** @return the settings, or every finding about them */
+    /** @return the settings, or every invalid one */
     Result<RaftSettings> build() const;
 
 private:
--- a/include/raft/Snapshot.h
+++ b/include/raft/Snapshot.h
@@ -8,7 +8,7 @@
 
 namespace bergamotweir::raft {
 
-/** The whole state machine at one place of the log, and the membership there. */
+/** The state machine and the membership at one index of the log. */
 struct Snapshot {
     std::uint64_t lastIndex = 0;
     std::uint64_t lastTerm = 0;
@@ -16,7 +16,7 @@
     std::string data;
 };
 
-/** Shared between the core, the disk writer and transfers; never changed once made. */
+/** Shared between the core, the writer thread and snapshot transfers; immutable. */
 using SnapshotPtr = std::shared_ptr<const Snapshot>;
 
 } // namespace bergamotweir::raft
--- a/src/disk/WholeFile.cpp
+++ b/src/disk/ChecksummedFile.cpp
@@ -1,4 +1,4 @@
-#include "disk/WholeFile.h"
+#include "disk/ChecksummedFile.h"
 
 #include "disk/Record.h"
 
@@ -48,14 +48,14 @@
     return bytes;
 }
 
-Findings writeWhole(const FileOperations &files, const std::filesystem::path &file, std::string_view content)
+Findings writeChecksummedFile(const FileOperations &files, const std::filesystem::path &file, std::string_view content)
 {
-    const std::string beside = file.string() + ".new";
-    int error = writeAndSync(files, beside, sealWhole(content));
+    const std::string temporaryPath = file.string() + ".new";
+    int error = writeAndSync(files, temporaryPath, prependChecksum(content));
     if (error != 0) {
-        return ioFinding(beside, 0, "writing", error);
+        return ioFinding(temporaryPath, 0, "writing", error);
     }
-    error = files.rename(beside, file.string());
+    error = files.rename(temporaryPath, file.string());
     if (error == 0) {
         error = files.syncFolder(file.parent_path().string());
     }
@@ -65,13 +65,13 @@
     return {};
 }
 
-Result<std::string> readWhole(const std::filesystem::path &file)
+Result<std::string> readChecksummedFile(const std::filesystem::path &file)
 {
-    const Result<std::string> sealed = readFile(file);
-    if (!sealed) {
-        return sealed.error();
+    const Result<std::string> checksummed = readFile(file);
+    if (!checksummed) {
+        return checksummed.error();
     }
-    std::optional<std::string> content = openWhole(sealed.value());
+    std::optional<std::string> content = stripChecksum(checksummed.value());
     if (!content) {
         return oneFinding(
             file.string() + ", offset 0", "checksum differs: the file is corrupt", "replace this replica");
--- a/src/disk/LogFiles.cpp
+++ b/src/disk/LogFiles.cpp
@@ -1,7 +1,7 @@
 #include "disk/LogFiles.h"
 
+#include "disk/ChecksummedFile.h"
 #include "disk/Record.h"
-#include "disk/WholeFile.h"
 
 #include <algorithm>
 #include <cassert>
@@ -27,7 +27,7 @@
     return name;
 }
 
-std::vector<std::uint64_t> findSequences(const std::filesystem::path &folder)
+std::vector<std::uint64_t> listSequences(const std::filesystem::path &folder)
 {
     std::vector<std::uint64_t> sequences;
     for (const auto &file : std::filesystem::directory_iterator(folder)) {
@@ -44,8 +44,8 @@
 }
 
 /**
- * Tells whether the bytes behind a bad record show that its batch had been synced.
- * A batch is written only after the sync of the one before it, so a whole record of a later batch proves it.
+ * Returns whether the bytes after an invalid record prove that its batch had been synced. A batch is written only after
+ * the sync of the previous one, so a valid record of a later batch is the proof.
  */
 bool wasSynced(std::string_view bytes, std::uint64_t badOffset)
 {
@@ -82,7 +82,7 @@
 Result<std::vector<wire::LogEntry>> LogFiles::load()
 {
     std::vector<wire::LogEntry> entries;
-    const std::vector<std::uint64_t> sequences = findSequences(this->folder);
+    const std::vector<std::uint64_t> sequences = listSequences(this->folder);
     for (const std::uint64_t sequence : sequences) {
         Segment segment;
         segment.path = this->folder / segmentName(sequence);
@@ -100,7 +100,7 @@
     return entries;
 }
 
-Findings LogFiles::loadSegment(Segment &segment, bool last, std::vector<wire::LogEntry> &entries)
+Findings LogFiles::loadSegment(Segment &segment, bool isLast, std::vector<wire::LogEntry> &entries)
 {
     const Result<std::string> read = readFile(segment.path);
     if (!read) {
@@ -111,7 +111,7 @@
     while (offset < bytes.size()) {
         const std::optional<Record> record = decodeRecord(bytes, offset);
         if (!record) {
-            return this->cutTail(segment, bytes, offset, last);
+            return this->truncateTornTail(segment, bytes, offset, isLast);
         }
         const std::string place = segment.path.string() + ", offset " + std::to_string(offset);
         if (record->batch < this->lastBatch) {
@@ -133,18 +133,18 @@
 }
 
 /*
- * Guards against both ways to treat a bad record wrongly. A crash in the middle of a write leaves a torn batch that
- * nobody was told about: it is cut, or the replica could never start again. A bad record that had been synced was
- * acknowledged: cutting it would forget committed entries, so the replica refuses to start.
+ * Distinguishes a torn write from corruption. A crash during a write leaves a torn batch that was never acknowledged:
+ * it is truncated, as otherwise the replica could not start again. An invalid record that had been synced was
+ * acknowledged: truncating it would lose committed entries, so the replica refuses to start.
  */
-Findings LogFiles::cutTail(Segment &segment, std::string_view bytes, std::uint64_t offset, bool last)
+Findings LogFiles::truncateTornTail(Segment &segment, std::string_view bytes, std::uint64_t offset, bool isLast)
 {
-    if (!last || wasSynced(bytes, offset)) {
+    if (!isLast || wasSynced(bytes, offset)) {
         return oneFinding(segment.path.string() + ", offset " + std::to_string(offset),
                           "checksum differs in the middle of the log: the file is corrupt",
                           "replace this replica");
     }
-    return this->cutSegment(segment, offset);
+    return this->truncateSegment(segment, offset);
 }
 
 Findings LogFiles::addSegment()
@@ -161,7 +161,7 @@
         return ioFinding(segment.path, 0, "syncing the folder", error);
     }
     this->segments.push_back(std::move(segment));
-    this->rollDue = false;
+    this->shouldRoll = false;
     return {};
 }
 
@@ -172,7 +172,7 @@
     if (error != 0) {
         return ioFinding(segment.path, segment.size, "writing", error);
     }
-    // A failed sync is final: the kernel may have dropped the pages, so a second try proves nothing.
+    // A failed sync is final: the kernel may have dropped the dirty pages, so a successful retry would prove nothing.
     error = this->files.sync(segment.descriptor);
     if (error != 0) {
         return ioFinding(segment.path, segment.size, "syncing", error);
@@ -181,8 +181,8 @@
     return {};
 }
 
-/** Synced before anything is written behind the cut: what was cut must not come back among newer records. */
-Findings LogFiles::cutSegment(Segment &segment, std::uint64_t size)
+/** Truncates and syncs a segment. Without the sync a crash could restore truncated records among newer ones. */
+Findings LogFiles::truncateSegment(Segment &segment, std::uint64_t size)
 {
     int error = this->files.truncate(segment.descriptor, size);
     if (error == 0) {
@@ -200,7 +200,7 @@
     if (entries.empty()) {
         return {};
     }
-    if (this->segments.empty() || this->rollDue || this->segments.back().size >= SegmentBytes) {
+    if (this->segments.empty() || this->shouldRoll || this->segments.back().size >= SegmentBytes) {
         Findings found = this->addSegment();
         if (!found.empty()) {
             return found;
@@ -239,7 +239,7 @@
         }
     }
     if (this->segments.size() != before) {
-        // A removed segment that came back with a crash would put its dead entries behind newer ones.
+        // Without this sync a crash could restore a removed segment, and its stale entries would follow newer ones.
         const int error = this->files.syncFolder(this->folder.string());
         if (error != 0) {
             return ioFinding(this->folder, 0, "syncing the folder", error);
@@ -253,7 +253,7 @@
     if (kept >= segment.offsets.size()) {
         return {};
     }
-    Findings found = this->cutSegment(segment, segment.offsets[kept]);
+    Findings found = this->truncateSegment(segment, segment.offsets[kept]);
     segment.offsets.resize(kept);
     return found;
 }
@@ -274,8 +274,8 @@
         }
         this->segments.pop_front();
     }
-    // The next batch starts a new segment, so that this one can go with the next snapshot.
-    this->rollDue = true;
+    // The next batch starts a new segment, so that the next snapshot can remove this one.
+    this->shouldRoll = true;
     return {};
 }
 
--- a/src/disk/LogFiles.h
+++ b/src/disk/LogFiles.h
@@ -14,31 +14,34 @@
 namespace bergamotweir::disk {
 
 /**
- * The log's segment files in one folder. Owned by Storage; used from one thread at a time.
- * Every change is durable when its method returns without findings. After a finding the object must not be used on.
+ * The segment files of the log in one folder. Owned by Storage; not thread-safe.
+ * A change is durable when its method returns without findings. After a finding the object must not be used any more.
  */
 class LogFiles
 {
 public:
-    /** @param folder exists @param files calls to use */
+    /**
+     * @param folder existing data folder
+     * @param files file system calls; must outlive this object
+     */
     LogFiles(std::filesystem::path folder, const FileOperations &files);
     ~LogFiles();
     LogFiles(const LogFiles &) = delete;
     LogFiles &operator=(const LogFiles &) = delete;
 
     /**
-     * Reads every segment and cuts a torn tail.
-     * @return the entries in order, or the place of a corrupt middle or a gap
+     * Reads every segment and truncates a torn tail.
+     * @return the entries in order, or the position of a corrupt record or a gap
      */
     Result<std::vector<wire::LogEntry>> load();
 
-    /** Adds entries as one batch with one sync. */
+    /** Appends entries as one batch with one sync. */
     Findings append(const std::vector<wire::LogEntry> &entries);
 
-    /** Drops the entry at an index and all behind it. */
+    /** Removes the entry at an index and all later entries. */
     Findings truncateFrom(std::uint64_t index);
 
-    /** Removes segments that hold nothing above an index. */
+    /** Removes the segments that hold no entry above an index; the last segment stays. */
     Findings dropThrough(std::uint64_t index);
 
     /** Removes every entry. */
@@ -54,11 +57,11 @@
         std::deque<std::uint64_t> offsets;
     };
 
-    Findings loadSegment(Segment &segment, bool last, std::vector<wire::LogEntry> &entries);
-    Findings cutTail(Segment &segment, std::string_view bytes, std::uint64_t offset, bool last);
+    Findings loadSegment(Segment &segment, bool isLast, std::vector<wire::LogEntry> &entries);
+    Findings truncateTornTail(Segment &segment, std::string_view bytes, std::uint64_t offset, bool isLast);
     Findings addSegment();
     Findings removeLastSegment();
-    Findings cutSegment(Segment &segment, std::uint64_t size);
+    Findings truncateSegment(Segment &segment, std::uint64_t size);
     Findings writeBatch(const std::string &bytes);
 
     const std::filesystem::path folder;
@@ -66,7 +69,7 @@
     std::deque<Segment> segments;
     std::uint64_t lastSequence = 0;
     std::uint64_t lastBatch = 0;
-    bool rollDue = false;
+    bool shouldRoll = false;
 };
 
 } // namespace bergamotweir::disk
--- a/src/disk/Record.cpp
+++ b/src/disk/Record.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::uint32_t RecordMagic = 0x62657267;
 
-/** As it stands in the file, in the byte order of x86-64 and arm64. */
+/** Header of a record in its on-disk layout, in little-endian byte order (x86-64 and arm64). */
 struct RecordHeader {
     std::uint32_t magic = RecordMagic;
     std::uint32_t length = 0;
@@ -58,22 +58,22 @@
     return Record{header.batch, header.ordinal, payload, sizeof(header) + header.length};
 }
 
-std::string sealWhole(std::string_view content)
+std::string prependChecksum(std::string_view content)
 {
     const std::uint64_t checksum = XXH3_64bits(content.data(), content.size());
-    std::string sealed(reinterpret_cast<const char *>(&checksum), sizeof(checksum));
-    sealed.append(content);
-    return sealed;
+    std::string checksummed(reinterpret_cast<const char *>(&checksum), sizeof(checksum));
+    checksummed.append(content);
+    return checksummed;
 }
 
-std::optional<std::string> openWhole(std::string_view sealed)
+std::optional<std::string> stripChecksum(std::string_view checksummed)
 {
     std::uint64_t checksum = 0;
-    if (sealed.size() < sizeof(checksum)) {
+    if (checksummed.size() < sizeof(checksum)) {
         return std::nullopt;
     }
-    std::memcpy(&checksum, sealed.data(), sizeof(checksum));
-    const std::string_view content = sealed.substr(sizeof(checksum));
+    std::memcpy(&checksum, checksummed.data(), sizeof(checksum));
+    const std::string_view content = checksummed.substr(sizeof(checksum));
     if (XXH3_64bits(content.data(), content.size()) != checksum) {
         return std::nullopt;
     }
--- a/src/disk/Record.h
+++ b/src/disk/Record.h
@@ -8,27 +8,27 @@
 
 namespace bergamotweir::disk {
 
-/** One checksummed piece of a log file. A batch is what one sync made durable. */
+/** One checksummed record of a log file. A batch is the set of records written with one sync. */
 struct Record {
     std::uint64_t batch = 0;
-    /** Place within its batch. */
+    /** Position within the batch, from 0. */
     std::uint32_t ordinal = 0;
     /** Serialised wire::LogEntry. */
     std::string_view payload;
-    /** Bytes it takes in the file. */
+    /** Size in the file in bytes, header included. */
     std::size_t size = 0;
 };
 
 /** Appends a record to a buffer. */
 void encodeRecord(std::string &buffer, std::uint64_t batch, std::uint32_t ordinal, std::string_view payload);
 
-/** @return the record at an offset; none when it isn't whole or its checksum differs */
+/** @return the record at an offset; none if it is truncated or its checksum differs */
 std::optional<Record> decodeRecord(std::string_view file, std::size_t offset);
 
-/** @return a file's content with its checksum in front */
-std::string sealWhole(std::string_view content);
+/** @return the content with its checksum prepended */
+std::string prependChecksum(std::string_view content);
 
-/** @return the content; none when the checksum differs */
-std::optional<std::string> openWhole(std::string_view sealed);
+/** @return the content without its checksum; none if the checksum differs */
+std::optional<std::string> stripChecksum(std::string_view checksummed);
 
 } // namespace bergamotweir::disk
--- a/src/disk/Storage.cpp
+++ b/src/disk/Storage.cpp
@@ -1,7 +1,7 @@
 #include "disk/Storage.h"
 
+#include "disk/ChecksummedFile.h"
 #include "disk/LogFiles.h"
-#include "disk/WholeFile.h"
 
 #include <algorithm>
 #include <cerrno>
@@ -39,7 +39,10 @@
     return id;
 }
 
-/** Two processes on one folder would each believe to be the replica. @return the lock's descriptor */
+/**
+ * Locks the folder, so that two processes cannot act as the same replica.
+ * @return the descriptor of the lock
+ */
 Result<int> lockFolder(const std::filesystem::path &folder)
 {
     const std::string path = (folder / LockName).string();
@@ -55,10 +58,11 @@
 }
 
 /**
- * Fits the log to the snapshot. A crash between saving an installed snapshot and removing the log it replaced leaves
- * entries that end before the snapshot or differ at its index: they are dropped. A hole between both is an error.
+ * Reconciles the log with the snapshot. A crash between saving an installed snapshot and removing the log that it
+ * replaced leaves entries that end before the snapshot or conflict with it at its index: they are removed. A gap
+ * between the snapshot and the log is an error.
  */
-Findings fitLog(LogFiles &log, const raft::Snapshot &snapshot, std::vector<wire::LogEntry> &entries)
+Findings reconcileLog(LogFiles &log, const raft::Snapshot &snapshot, std::vector<wire::LogEntry> &entries)
 {
     if (entries.empty()) {
         return {};
@@ -68,9 +72,9 @@
         return oneFinding("log",
                           "begins at " + std::to_string(first) + ", behind the snapshot's end: entries are missing");
     }
-    const bool holdsIt = first <= snapshot.lastIndex && entries.back().index() >= snapshot.lastIndex;
-    const bool agrees =
-        first == snapshot.lastIndex + 1 || (holdsIt && entries[snapshot.lastIndex - first].term() == snapshot.lastTerm);
+    const bool holdsSnapshotIndex = first <= snapshot.lastIndex && entries.back().index() >= snapshot.lastIndex;
+    const bool agrees = first == snapshot.lastIndex + 1
+                        || (holdsSnapshotIndex && entries[snapshot.lastIndex - first].term() == snapshot.lastTerm);
     if (!agrees) {
         entries.clear();
         return log.reset();
@@ -95,7 +99,7 @@
     Findings loadLog();
     Findings saveMeta();
     Findings saveSnapshot(const raft::SaveSnapshot &save);
-    Findings carryOut(std::deque<raft::WriteDisk> &batches);
+    Findings execute(std::deque<raft::WriteDisk> &batches);
     Findings flush();
     void countSyncs();
     void run();
@@ -107,13 +111,13 @@
     wire::DiskMeta meta;
     raft::PersistentState state;
     StorageCallbacks callbacks;
-    std::vector<wire::LogEntry> unwritten;
+    std::vector<wire::LogEntry> pendingEntries;
 
     mutable std::mutex mutex;
-    std::condition_variable wake;
+    std::condition_variable queueChanged;
     std::deque<raft::WriteDisk> queue;
     StorageCounters counters;
-    bool ending = false;
+    bool isStopping = false;
     std::thread writer;
 };
 
@@ -130,7 +134,7 @@
         this->meta.set_disk_id(newDiskId());
         return this->saveMeta();
     }
-    const Result<std::string> content = readWhole(this->folder / MetaName);
+    const Result<std::string> content = readChecksummedFile(this->folder / MetaName);
     if (!content) {
         return content.error();
     }
@@ -146,7 +150,7 @@
     if (!std::filesystem::exists(this->folder / SnapshotName)) {
         return {};
     }
-    const Result<std::string> content = readWhole(this->folder / SnapshotName);
+    const Result<std::string> content = readChecksummedFile(this->folder / SnapshotName);
     if (!content) {
         return content.error();
     }
@@ -174,7 +178,7 @@
             (this->folder / MetaName).string(), "is older than the log: votes are missing", "replace this replica");
     }
     if (this->state.snapshot) {
-        return fitLog(this->log, *this->state.snapshot, this->state.entries);
+        return reconcileLog(this->log, *this->state.snapshot, this->state.entries);
     }
     if (!entries.empty() && entries.front().index() != 1) {
         return oneFinding(
@@ -185,7 +189,7 @@
 
 Findings Storage::Parts::saveMeta()
 {
-    return writeWhole(this->files, this->folder / MetaName, this->meta.SerializeAsString());
+    return writeChecksummedFile(this->files, this->folder / MetaName, this->meta.SerializeAsString());
 }
 
 Findings Storage::Parts::saveSnapshot(const raft::SaveSnapshot &save)
@@ -195,7 +199,7 @@
     stored.set_last_term(save.snapshot->lastTerm);
     *stored.mutable_membership() = save.snapshot->membership;
     stored.set_data(save.snapshot->data);
-    Findings found = writeWhole(this->files, this->folder / SnapshotName, stored.SerializeAsString());
+    Findings found = writeChecksummedFile(this->files, this->folder / SnapshotName, stored.SerializeAsString());
     if (!found.empty()) {
         return found;
     }
@@ -204,17 +208,17 @@
 
 Findings Storage::Parts::flush()
 {
-    const std::vector<wire::LogEntry> entries = std::exchange(this->unwritten, {});
+    const std::vector<wire::LogEntry> entries = std::exchange(this->pendingEntries, {});
     return this->log.append(entries);
 }
 
-Findings Storage::Parts::carryOut(std::deque<raft::WriteDisk> &batches)
+Findings Storage::Parts::execute(std::deque<raft::WriteDisk> &batches)
 {
     Findings found;
     for (raft::WriteDisk &batch : batches) {
         for (raft::DiskOperation &operation : batch.operations) {
             if (auto *append = std::get_if<raft::AppendEntries>(&operation)) {
-                std::move(append->entries.begin(), append->entries.end(), std::back_inserter(this->unwritten));
+                std::move(append->entries.begin(), append->entries.end(), std::back_inserter(this->pendingEntries));
                 continue;
             }
             found = this->flush();
@@ -238,7 +242,7 @@
     return this->flush();
 }
 
-/** Wraps the sync call, so that every sync is counted and timed where it happens. */
+/** Wraps the sync call to count and time every sync. */
 void Storage::Parts::countSyncs()
 {
     this->files.sync = [this, sync = std::move(this->files.sync)](int descriptor) {
@@ -259,8 +263,8 @@
         std::deque<raft::WriteDisk> batches;
         {
             std::unique_lock guard(this->mutex);
-            this->wake.wait(guard, [this] {
-                return this->ending || !this->queue.empty();
+            this->queueChanged.wait(guard, [this] {
+                return this->isStopping || !this->queue.empty();
             });
             if (this->queue.empty()) {
                 return;
@@ -268,7 +272,7 @@
             batches.swap(this->queue);
         }
         const raft::Ticket ticket = batches.back().ticket;
-        const Findings found = this->carryOut(batches);
+        const Findings found = this->execute(batches);
         if (!found.empty()) {
             this->callbacks.failed(found);
             return;
@@ -324,7 +328,7 @@
     if (!std::filesystem::exists(folder / MetaName)) {
         return std::string();
     }
-    const Result<std::string> content = readWhole(folder / MetaName);
+    const Result<std::string> content = readChecksummedFile(folder / MetaName);
     if (!content) {
         return content.error();
     }
@@ -337,9 +341,9 @@
 {
     {
         const std::lock_guard guard(this->parts->mutex);
-        this->parts->ending = true;
+        this->parts->isStopping = true;
     }
-    this->parts->wake.notify_one();
+    this->parts->queueChanged.notify_one();
     if (this->parts->writer.joinable()) {
         this->parts->writer.join();
     }
@@ -370,7 +374,7 @@
         }
         this->parts->queue.push_back(std::move(batch));
     }
-    this->parts->wake.notify_one();
+    this->parts->queueChanged.notify_one();
 }
 
 StorageCounters Storage::counters() const
--- a/src/raft/Election.cpp
+++ b/src/raft/Election.cpp
@@ -16,7 +16,7 @@
     if (this->currentRole == Role::Leader) {
         return true;
     }
-    return !this->leader.empty() && this->now - this->lastLeaderContact < this->settings.electionTimeoutMin;
+    return !this->leader.empty() && this->now - this->lastLeaderContactAt < this->settings.electionTimeoutMin;
 }
 
 bool RaftCore::isUpToDate(const wire::VoteRequest &request) const
@@ -28,9 +28,9 @@
 }
 
 /*
- * Guards against a replica that comes back from a cut or a freeze with a higher term and unseats a leader that works:
- * callers would see a pause without a fault. It first asks whether it could win; whoever hears a leader says no, and
- * no term changes.
+ * Pre-vote. Without it a replica that returns from a partition or a freeze would increase its term and depose a working
+ * leader, which interrupts service without need. The replica first asks whether it could win an election; replicas in
+ * contact with a leader refuse, and no term changes.
  */
 void RaftCore::startPreVote()
 {
@@ -41,25 +41,25 @@
     }
     this->currentRole = Role::PreCandidate;
     this->votes.clear();
-    this->votes[this->self.id] = this->ownDisk;
+    this->votes[this->self.id] = this->ownDiskId;
     this->requestVotes(true, false);
     this->countVotes();
 }
 
-void RaftCore::startElection(bool handedOver)
+void RaftCore::startElection(bool isTransfer)
 {
     this->currentRole = Role::Candidate;
     this->currentTerm++;
-    this->vote = this->self.id + "/" + this->ownDisk;
+    this->vote = this->self.id + "/" + this->ownDiskId;
     this->saveVote();
     this->electionTicket = this->voteTicket;
     this->votes.clear();
     this->leader.clear();
     this->resetElectionTimer();
-    this->requestVotes(false, handedOver);
+    this->requestVotes(false, isTransfer);
 }
 
-void RaftCore::requestVotes(bool preVote, bool handedOver)
+void RaftCore::requestVotes(bool preVote, bool isTransfer)
 {
     for (const wire::Replica &replica : this->membership().replicas()) {
         if (!replica.voter() || this->isSelf(replica)) {
@@ -69,7 +69,7 @@
         wire::RaftMessage request = this->message(replica.id(), replica.disk_id(), term);
         wire::VoteRequest *body = request.mutable_vote_request();
         body->set_pre_vote(preVote);
-        body->set_handed_over(handedOver);
+        body->set_handed_over(isTransfer);
         body->set_last_log_index(this->entries.lastIndex());
         body->set_last_log_term(this->entries.lastTerm());
         this->send(replica.address(), std::move(request), preVote ? 0 : this->electionTicket);
@@ -79,7 +79,7 @@
 void RaftCore::countVotes()
 {
     if (this->currentRole == Role::Candidate && this->electionTicket <= this->syncedTicket) {
-        this->votes[this->self.id] = this->ownDisk;
+        this->votes[this->self.id] = this->ownDiskId;
     }
     const bool won = this->hasQuorum([this](const wire::Replica &replica) {
         return this->votes.contains(replica.id());
@@ -106,10 +106,10 @@
         for (wire::Replica &replica : *membership.mutable_replicas()) {
             replica.set_disk_id(this->votes.at(replica.id()));
         }
-        this->appendOwn(wire::ENTRY_KIND_MEMBERSHIP, membership.SerializeAsString());
+        this->appendAsLeader(wire::ENTRY_KIND_MEMBERSHIP, membership.SerializeAsString());
     }
     this->rebuildProgress();
-    this->termStartIndex = this->appendOwn(wire::ENTRY_KIND_NOOP, {});
+    this->termStartIndex = this->appendAsLeader(wire::ENTRY_KIND_NOOP, {});
 }
 
 void RaftCore::onPreVoteRequest(const wire::RaftMessage &message)
@@ -128,8 +128,8 @@
 void RaftCore::onVoteRequest(const wire::RaftMessage &message)
 {
     const std::string candidate = message.from() + "/" + message.from_disk();
-    const bool free = this->vote.empty() || this->vote == candidate;
-    const bool granted = free && this->isUpToDate(message.vote_request());
+    const bool canVote = this->vote.empty() || this->vote == candidate;
+    const bool granted = canVote && this->isUpToDate(message.vote_request());
     if (granted) {
         this->currentRole = Role::Follower;
         if (this->vote.empty()) {
@@ -169,8 +169,8 @@
 }
 
 /*
- * Guards against a leader on the far side of a silent partition: it would keep its callers waiting and believe that it
- * leads. Without answers from a quorum for an election timeout it steps down.
+ * Makes a leader step down that got no answers from a quorum for an election time-out. Without this check a leader that
+ * is partitioned from the others would stay leader and keep its callers waiting.
  */
 void RaftCore::checkQuorum()
 {
@@ -180,7 +180,7 @@
         }
         const auto found = this->progresses.find(replica.id());
         return found != this->progresses.end()
-               && this->now - found->second.lastAnswer <= this->settings.electionTimeoutMax;
+               && this->now - found->second.lastAnswerAt <= this->settings.electionTimeoutMax;
     });
     if (!reached) {
         this->becomeFollower(this->currentTerm, {});
@@ -191,8 +191,8 @@
 {
     const Progress *best = nullptr;
     for (const auto &[id, progress] : this->progresses) {
-        const bool recent = this->now - progress.lastAnswer <= this->settings.electionTimeoutMax;
-        if (progress.replica.voter() && recent && (best == nullptr || progress.match > best->match)) {
+        const bool recent = this->now - progress.lastAnswerAt <= this->settings.electionTimeoutMax;
+        if (progress.replica.voter() && recent && (best == nullptr || progress.matchIndex > best->matchIndex)) {
             best = &progress;
         }
     }
@@ -230,7 +230,7 @@
         return;
     }
     const Progress &target = found->second;
-    const bool caughtUp = target.match == this->entries.lastIndex();
+    const bool caughtUp = target.matchIndex == this->entries.lastIndex();
     if (!caughtUp || this->now - this->leadershipTransfer->sentAt < this->settings.heartbeat) {
         return;
     }
--- a/src/raft/Log.cpp
+++ b/src/raft/Log.cpp
@@ -37,7 +37,7 @@
     return this->entries[index - this->baseIndex - 1];
 }
 
-std::uint64_t Log::firstOfTerm(std::uint64_t index) const
+std::uint64_t Log::firstIndexOfTerm(std::uint64_t index) const
 {
     const std::uint64_t term = this->at(index).term();
     while (index > this->baseIndex + 1 && this->at(index - 1).term() == term) {
--- a/src/raft/Membership.cpp
+++ b/src/raft/Membership.cpp
@@ -9,12 +9,12 @@
 
 namespace {
 
-/** How long a replica that is to be added may take to tell its disk id. */
+/** Time within which a replica to be added must report its disk id. */
 constexpr std::chrono::seconds IdentifyTimeout{2};
 
-const char *const Place = "membership";
+const char *const FindingPlace = "membership";
 
-wire::Replica *findIn(wire::Membership &membership, const std::string &id)
+wire::Replica *findReplica(wire::Membership &membership, const std::string &id)
 {
     for (wire::Replica &replica : *membership.mutable_replicas()) {
         if (replica.id() == id) {
@@ -24,15 +24,15 @@
     return nullptr;
 }
 
-wire::Membership without(const wire::Membership &membership, const std::string &id)
+wire::Membership withoutReplica(const wire::Membership &membership, const std::string &id)
 {
-    wire::Membership rest;
+    wire::Membership remaining;
     for (const wire::Replica &replica : membership.replicas()) {
         if (replica.id() != id) {
-            *rest.add_replicas() = replica;
+            *remaining.add_replicas() = replica;
         }
     }
-    return rest;
+    return remaining;
 }
 
 } // namespace
@@ -50,7 +50,7 @@
 
 bool RaftCore::isSelf(const wire::Replica &replica) const
 {
-    return replica.id() == this->self.id && (replica.disk_id().empty() || replica.disk_id() == this->ownDisk);
+    return replica.id() == this->self.id && (replica.disk_id().empty() || replica.disk_id() == this->ownDiskId);
 }
 
 const wire::Replica *RaftCore::findMember(const std::string &id) const
@@ -81,13 +81,13 @@
 
 std::set<std::string> RaftCore::unresponsiveMembers(std::chrono::nanoseconds timeout) const
 {
-    std::set<std::string> silent;
+    std::set<std::string> unresponsive;
     for (const auto &[id, progress] : this->progresses) {
-        if (this->now - progress.lastAnswer > timeout) {
-            silent.insert(id);
+        if (this->now - progress.lastAnswerAt > timeout) {
+            unresponsive.insert(id);
         }
     }
-    return silent;
+    return unresponsive;
 }
 
 void RaftCore::rebuildProgress()
@@ -105,20 +105,20 @@
         }
         Progress fresh;
         fresh.replica = replica;
-        fresh.next = this->entries.lastIndex() + 1;
-        fresh.lastAnswer = this->now;
+        fresh.nextIndex = this->entries.lastIndex() + 1;
+        fresh.lastAnswerAt = this->now;
         this->progresses[replica.id()] = std::move(fresh);
     }
 }
 
 void RaftCore::refuseChange(RequestId request, std::string message)
 {
-    this->emit(MemberChanged{request, ChangeOutcome::Refused, 0, 0, oneFinding(Place, std::move(message))});
+    this->emit(MemberChanged{request, ChangeOutcome::Refused, 0, 0, oneFinding(FindingPlace, std::move(message))});
 }
 
 /*
- * Guards against a change after which the group can't commit: the voters of the next membership that answer now must
- * be a quorum of it, or the change itself would take the group down.
+ * Returns whether the responsive voters of the next membership are a quorum of it. A change that does not satisfy this
+ * would leave a group that cannot commit.
  */
 bool RaftCore::wouldKeepQuorum(const wire::Membership &next) const
 {
@@ -129,7 +129,7 @@
         }
         const auto found = this->progresses.find(replica.id());
         const bool recent = found != this->progresses.end()
-                            && this->now - found->second.lastAnswer <= this->settings.electionTimeoutMax;
+                            && this->now - found->second.lastAnswerAt <= this->settings.electionTimeoutMax;
         answering += this->isSelf(replica) || recent ? 1 : 0;
     }
     return answering * 2 > static_cast<int>(countVoters(next));
@@ -139,22 +139,23 @@
 {
     const std::string &id = asked.replica().id();
     wire::Membership next = this->membership();
-    wire::Replica *replica = findIn(next, id);
+    wire::Replica *replica = findReplica(next, id);
     if (replica == nullptr) {
         refusal = id + " is not a member";
         return std::nullopt;
     }
     if (asked.change() == wire::ChangeMember::CHANGE_REMOVE) {
-        next = without(next, id);
+        next = withoutReplica(next, id);
     } else {
         if (replica->voter()) {
             refusal = id + " is a voter already";
             return std::nullopt;
         }
-        const std::uint64_t match = this->progresses.at(id).match;
-        // A learner that lags counts in the quorum but holds nothing: losing one more replica would then lose entries.
-        if (match + this->settings.promotionLag < this->commit || match == 0) {
-            refusal = id + " has not caught up: " + std::to_string(this->commit - match) + " entries behind";
+        const std::uint64_t match = this->progresses.at(id).matchIndex;
+        // A promoted learner that lags would count in the quorum without holding the entries: the loss of one more
+        // replica could then lose committed entries.
+        if (match + this->settings.promotionLag < this->committedIndex || match == 0) {
+            refusal = id + " has not caught up: " + std::to_string(this->committedIndex - match) + " entries behind";
             return std::nullopt;
         }
         replica->set_voter(true);
@@ -172,8 +173,8 @@
         this->refuseChange(request, "this replica does not lead");
         return;
     }
-    // Two changes at once could have quorums that don't overlap.
-    if (this->change || this->memberships.rbegin()->first > this->commit) {
+    // Two concurrent single-server changes could have quorums that do not overlap.
+    if (this->pendingChange || this->memberships.rbegin()->first > this->committedIndex) {
         this->refuseChange(request, "another change is in progress");
         return;
     }
@@ -187,8 +188,8 @@
             this->refuseChange(request, "a replica to add needs an id and an address");
             return;
         }
-        this->change = PendingChange{request, asked.replica(), 0, {}, deadline};
-        this->askIdentity();
+        this->pendingChange = PendingChange{request, asked.replica(), 0, {}, deadline};
+        this->requestIdentity();
         return;
     }
     std::string refusal;
@@ -197,53 +198,54 @@
         this->refuseChange(request, std::move(refusal));
         return;
     }
-    this->change = PendingChange{request, asked.replica(), 0, {}, deadline};
+    this->pendingChange = PendingChange{request, asked.replica(), 0, {}, deadline};
     this->appendChange(*next);
 }
 
 void RaftCore::appendChange(const wire::Membership &next)
 {
-    this->change->index = this->appendOwn(wire::ENTRY_KIND_MEMBERSHIP, next.SerializeAsString());
+    this->pendingChange->index = this->appendAsLeader(wire::ENTRY_KIND_MEMBERSHIP, next.SerializeAsString());
     this->rebuildProgress();
     this->advanceCommit();
 }
 
-void RaftCore::askIdentity()
+void RaftCore::requestIdentity()
 {
-    if (!this->change || this->change->index != 0) {
+    if (!this->pendingChange || this->pendingChange->index != 0) {
         return;
     }
-    if (this->now >= this->change->deadline) {
-        const RequestId request = this->change->request;
-        const std::string who = this->change->replica.id() + " at " + this->change->replica.address();
-        this->change.reset();
+    if (this->now >= this->pendingChange->deadline) {
+        const RequestId request = this->pendingChange->request;
+        const std::string who = this->pendingChange->replica.id() + " at " + this->pendingChange->replica.address();
+        this->pendingChange.reset();
         this->refuseChange(request, who + " does not answer");
         return;
     }
-    if (this->now - this->change->askedAt < this->settings.heartbeat) {
+    if (this->now - this->pendingChange->askedAt < this->settings.heartbeat) {
         return;
     }
-    this->change->askedAt = this->now;
-    wire::RaftMessage question = this->message(this->change->replica.id(), {}, this->currentTerm);
+    this->pendingChange->askedAt = this->now;
+    wire::RaftMessage question = this->message(this->pendingChange->replica.id(), {}, this->currentTerm);
     question.mutable_identify();
-    this->send(this->change->replica.address(), std::move(question), 0);
+    this->send(this->pendingChange->replica.address(), std::move(question), 0);
 }
 
 void RaftCore::onIdentity(const wire::RaftMessage &message)
 {
-    if (!this->change || this->change->index != 0 || message.from() != this->change->replica.id()) {
+    if (!this->pendingChange || this->pendingChange->index != 0
+        || message.from() != this->pendingChange->replica.id()) {
         return;
     }
-    const std::string &wanted = this->change->replica.disk_id();
-    if (!wanted.empty() && wanted != message.from_disk()) {
-        const RequestId request = this->change->request;
-        this->change.reset();
+    const std::string &requestedDisk = this->pendingChange->replica.disk_id();
+    if (!requestedDisk.empty() && requestedDisk != message.from_disk()) {
+        const RequestId request = this->pendingChange->request;
+        this->pendingChange.reset();
         this->refuseChange(request, message.from() + " has another disk than the one named");
         return;
     }
     wire::Membership next = this->membership();
     wire::Replica *added = next.add_replicas();
-    *added = this->change->replica;
+    *added = this->pendingChange->replica;
     added->set_disk_id(message.from_disk());
     added->set_voter(false);
     this->appendChange(next);
@@ -254,13 +256,14 @@
     if (this->currentRole != Role::Leader) {
         return;
     }
-    if (this->change && this->change->index == entry.index()) {
-        this->emit(MemberChanged{this->change->request, ChangeOutcome::Committed, entry.term(), entry.index(), {}});
-        this->change.reset();
+    if (this->pendingChange && this->pendingChange->index == entry.index()) {
+        this->emit(
+            MemberChanged{this->pendingChange->request, ChangeOutcome::Committed, entry.term(), entry.index(), {}});
+        this->pendingChange.reset();
     }
     const bool newest = this->memberships.rbegin()->first == entry.index();
     if (newest && !this->isVoter()) {
-        // The leader removed itself: a voter that holds the whole log takes over at once.
+        // The leader removed itself: it transfers leadership to the most caught-up voter at once.
         const Progress *target = this->leadershipTransferTarget();
         if (target != nullptr) {
             wire::RaftMessage request =
--- a/src/raft/MembershipPlan.cpp
+++ b/src/raft/MembershipPlan.cpp
@@ -6,36 +6,40 @@
 
 namespace {
 
-wire::ChangeMember change(const wire::Replica &replica, wire::ChangeMember::Change what)
+wire::ChangeMember makeChange(const wire::Replica &replica, wire::ChangeMember::Change kind)
 {
-    wire::ChangeMember made;
-    *made.mutable_replica() = replica;
-    made.set_change(what);
-    return made;
+    wire::ChangeMember request;
+    *request.mutable_replica() = replica;
+    request.set_change(kind);
+    return request;
 }
 
-/** @return the newest other replica at the address of a member: a later member, or one that asks to join; or nullptr */
-const wire::Replica *successorOf(const MembershipFacts &facts, const wire::Replica &member)
+/**
+ * Returns the latest other replica at the address of a member.
+ * @return a replica that requests to join or, if there is none, the last member at the address; nullptr if there is
+ * none
+ */
+const wire::Replica *replacementFor(const MembershipFacts &facts, const wire::Replica &member)
 {
     for (const wire::Replica &joiner : facts.joiners) {
         if (joiner.address() == member.address()) {
             return &joiner;
         }
     }
-    const wire::Replica *newest = &member;
+    const wire::Replica *latest = &member;
     for (const wire::Replica &other : facts.members.replicas()) {
         if (other.address() == member.address()) {
-            newest = &other;
+            latest = &other;
         }
     }
-    return newest->id() == member.id() ? nullptr : newest;
+    return latest->id() == member.id() ? nullptr : latest;
 }
 
 std::optional<wire::ChangeMember> removeLearner(const MembershipFacts &facts)
 {
     for (const wire::Replica &member : facts.members.replicas()) {
-        if (!member.voter() && (facts.unresponsive.contains(member.id()) || successorOf(facts, member) != nullptr)) {
-            return change(member, wire::ChangeMember::CHANGE_REMOVE);
+        if (!member.voter() && (facts.unresponsive.contains(member.id()) || replacementFor(facts, member) != nullptr)) {
+            return makeChange(member, wire::ChangeMember::CHANGE_REMOVE);
         }
     }
     return std::nullopt;
@@ -45,7 +49,7 @@
 {
     for (const wire::Replica &member : facts.members.replicas()) {
         if (!member.voter()) {
-            return change(member, wire::ChangeMember::CHANGE_PROMOTE);
+            return makeChange(member, wire::ChangeMember::CHANGE_PROMOTE);
         }
     }
     return std::nullopt;
@@ -53,15 +57,15 @@
 
 std::optional<wire::ChangeMember> removeVoter(const MembershipFacts &facts)
 {
-    const bool spare = countVoters(facts.members) > facts.wantedVoters;
+    const bool hasSpareVoter = countVoters(facts.members) > facts.wantedVoters;
     for (const wire::Replica &member : facts.members.replicas()) {
         if (!member.voter()) {
             continue;
         }
-        const wire::Replica *const successor = successorOf(facts, member);
-        const bool replaced = successor != nullptr && successor->voter();
-        if (replaced || (spare && facts.unresponsive.contains(member.id()))) {
-            return change(member, wire::ChangeMember::CHANGE_REMOVE);
+        const wire::Replica *const replacement = replacementFor(facts, member);
+        const bool isReplaced = replacement != nullptr && replacement->voter();
+        if (isReplaced || (hasSpareVoter && facts.unresponsive.contains(member.id()))) {
+            return makeChange(member, wire::ChangeMember::CHANGE_REMOVE);
         }
     }
     return std::nullopt;
@@ -81,7 +85,7 @@
         return removal;
     }
     if (!facts.joiners.empty()) {
-        return change(facts.joiners.front(), wire::ChangeMember::CHANGE_ADD);
+        return makeChange(facts.joiners.front(), wire::ChangeMember::CHANGE_ADD);
     }
     return std::nullopt;
 }
--- a/src/raft/RaftCore.cpp
+++ b/src/raft/RaftCore.cpp
@@ -13,7 +13,7 @@
     , settings(settings)
     , random(seed ^ XXH3_64bits(this->self.id.data(), this->self.id.size()))
     , now(now)
-    , ownDisk(std::move(state.diskId))
+    , ownDiskId(std::move(state.diskId))
     , currentTerm(state.term)
     , vote(std::move(state.votedFor))
     , snapshot(std::move(state.snapshot))
@@ -21,8 +21,8 @@
     if (this->snapshot) {
         this->entries.reset(this->snapshot->lastIndex, this->snapshot->lastTerm);
         this->memberships[this->snapshot->lastIndex] = this->snapshot->membership;
-        this->commit = this->snapshot->lastIndex;
-        this->applied = this->commit;
+        this->committedIndex = this->snapshot->lastIndex;
+        this->lastApplied = this->committedIndex;
         this->emit(RestoreSnapshot{this->snapshot});
     } else {
         this->memberships[0] = this->self.join ? wire::Membership() : this->self.initial;
@@ -34,7 +34,7 @@
         this->entries.append(std::move(entry));
     }
     this->durableIndex = this->entries.lastIndex();
-    this->snapshotDelay = this->random(static_cast<std::uint32_t>(this->settings.snapshotEntries));
+    this->snapshotJitter = this->random(static_cast<std::uint32_t>(this->settings.snapshotEntries));
     this->resetElectionTimer();
 }
 
@@ -55,16 +55,16 @@
         return;
     }
     for (auto &[id, progress] : this->progresses) {
-        progress.sendDue = progress.sendDue || this->now - progress.lastSent >= this->settings.heartbeat;
+        progress.sendDue = progress.sendDue || this->now - progress.lastSentAt >= this->settings.heartbeat;
     }
     this->continueLeadershipTransfer();
-    this->askIdentity();
+    this->requestIdentity();
 }
 
 void RaftCore::receive(const wire::RaftMessage &message, BootTime time)
 {
     this->now = time;
-    if (this->isStopped || !this->isForMe(message)) {
+    if (this->isStopped || !this->isAddressedToSelf(message)) {
         return;
     }
     if (message.has_identify()) {
@@ -82,7 +82,7 @@
         return;
     }
     const bool isAnswer = message.has_vote_reply() || message.has_append_reply() || message.has_snapshot_reply();
-    if (isAnswer && !this->isKnownSender(message)) {
+    if (isAnswer && !this->isFromMember(message)) {
         return;
     }
     const bool preVoteGranted =
@@ -94,23 +94,24 @@
 }
 
 /*
- * Guards against a replica that lost or swapped its disk: its votes and acknowledged entries are gone, and if it
- * answered as its old self, two leaders could win one term or a committed entry could vanish. Whoever knows the group
- * addresses one disk; a message for another disk is dropped. Only the first vote of all, before entry 1 binds the
- * disk ids, has no disk to name, and that vote has to be unanimous.
+ * Returns whether a message is addressed to this replica and its disk. A replica that lost or replaced its disk no
+ * longer has its votes and acknowledged entries; if it answered under its old identity, two leaders could be elected in
+ * one term or a committed entry could be lost. Members of the group therefore address one disk, and a message for
+ * another disk is dropped. Only requests for the first vote, sent before entry 1 records the disk ids, name no disk;
+ * that vote must be unanimous. Identify, which asks for the disk id, names none either.
  */
-bool RaftCore::isForMe(const wire::RaftMessage &message) const
+bool RaftCore::isAddressedToSelf(const wire::RaftMessage &message) const
 {
     if (message.to() != this->self.id || message.from() == this->self.id) {
         return false;
     }
     if (!message.to_disk().empty()) {
-        return message.to_disk() == this->ownDisk;
+        return message.to_disk() == this->ownDiskId;
     }
     return message.has_identify() || (message.has_vote_request() && !this->hasLoggedMembership() && !this->self.join);
 }
 
-bool RaftCore::isKnownSender(const wire::RaftMessage &message) const
+bool RaftCore::isFromMember(const wire::RaftMessage &message) const
 {
     const wire::Replica *sender = this->findMember(message.from());
     return sender != nullptr && (sender->disk_id().empty() || sender->disk_id() == message.from_disk());
@@ -129,7 +130,7 @@
         this->becomeFollower(message.term(), {});
         return true;
     }
-    // A leader of an older term learns from the answer that it is none any more.
+    // The answer carries the current term, so that a leader or candidate of an older term steps down.
     wire::RaftMessage answer = this->answerTo(message);
     if (message.has_append_request()) {
         answer.mutable_append_reply()->set_accepted(false);
@@ -197,18 +198,18 @@
     }
     this->termStartApplied = false;
     this->termStartIndex = 0;
-    for (const PendingConfirm &pending : this->confirms) {
+    for (const PendingConfirm &pending : this->pendingConfirms) {
         this->emit(Confirmed{pending.request, false});
     }
-    this->confirms.clear();
-    if (this->change) {
-        const bool inLog = this->change->index != 0;
-        this->emit(MemberChanged{this->change->request,
+    this->pendingConfirms.clear();
+    if (this->pendingChange) {
+        const bool inLog = this->pendingChange->index != 0;
+        this->emit(MemberChanged{this->pendingChange->request,
                                  inLog ? ChangeOutcome::Unknown : ChangeOutcome::Refused,
                                  this->currentTerm,
-                                 this->change->index,
+                                 this->pendingChange->index,
                                  oneFinding("membership", "leadership was lost meanwhile")});
-        this->change.reset();
+        this->pendingChange.reset();
     }
     if (this->leadershipTransfer) {
         this->leadershipTransfer.reset();
@@ -221,7 +222,7 @@
 {
     wire::RaftMessage made;
     made.set_from(this->self.id);
-    made.set_from_disk(this->ownDisk);
+    made.set_from_disk(this->ownDiskId);
     made.set_from_address(this->self.address);
     made.set_to(to);
     made.set_to_disk(toDisk);
@@ -240,25 +241,25 @@
         this->emit(SendMessage{address, std::move(message)});
         return;
     }
-    this->held.push_back({afterTicket, SendMessage{address, std::move(message)}});
+    this->delayedMessages.push_back({afterTicket, SendMessage{address, std::move(message)}});
 }
 
 /*
- * Guards against promises that a crash takes back: a vote or an acknowledged entry that was sent before it was on disk
- * lets a restarted replica vote twice or forget a committed entry. What depends on a ticket leaves after its sync, and
- * not at all once the term has moved on.
+ * Sends the delayed messages whose ticket has been synced, and drops those of an older term. If a vote or an
+ * acknowledgement was sent before it was durable, a replica that restarts after a crash could vote twice in a term or
+ * lose a committed entry.
  */
-void RaftCore::sendHeld()
+void RaftCore::sendDelayedMessages()
 {
-    std::deque<Held> waiting;
-    for (Held &one : this->held) {
+    std::deque<DelayedMessage> waiting;
+    for (DelayedMessage &one : this->delayedMessages) {
         if (one.ticket > this->syncedTicket) {
             waiting.push_back(std::move(one));
         } else if (one.send.message.term() == this->currentTerm) {
             this->actions.push_back(std::move(one.send));
         }
     }
-    this->held = std::move(waiting);
+    this->delayedMessages = std::move(waiting);
 }
 
 Ticket RaftCore::nextTicket() const
@@ -274,12 +275,12 @@
 
 void RaftCore::truncateFrom(std::uint64_t index)
 {
-    assert(index > this->commit);
+    assert(index > this->committedIndex);
     this->entries.truncateFrom(index);
     this->write(TruncateFrom{index});
     this->memberships.erase(this->memberships.lower_bound(index), this->memberships.end());
     this->durableIndex = std::min(this->durableIndex, index - 1);
-    for (Appended &one : this->appended) {
+    for (PendingAppend &one : this->pendingAppends) {
         one.lastIndex = std::min(one.lastIndex, index - 1);
     }
 }
@@ -295,14 +296,14 @@
     std::get<AppendEntries>(this->operations.back()).entries.push_back(entry);
     this->entries.append(std::move(entry));
     const Ticket ticket = this->nextTicket();
-    if (!this->appended.empty() && this->appended.back().ticket == ticket) {
-        this->appended.back().lastIndex = this->entries.lastIndex();
+    if (!this->pendingAppends.empty() && this->pendingAppends.back().ticket == ticket) {
+        this->pendingAppends.back().lastIndex = this->entries.lastIndex();
     } else {
-        this->appended.push_back({ticket, this->entries.lastIndex()});
+        this->pendingAppends.push_back({ticket, this->entries.lastIndex()});
     }
 }
 
-std::uint64_t RaftCore::appendOwn(wire::EntryKind kind, std::string payload)
+std::uint64_t RaftCore::appendAsLeader(wire::EntryKind kind, std::string payload)
 {
     wire::LogEntry entry;
     entry.set_term(this->currentTerm);
@@ -318,11 +319,11 @@
     if (!this->isLeader() || this->leadershipTransfer) {
         return std::nullopt;
     }
-    if (this->entries.lastIndex() - this->commit >= this->settings.uncommittedEntries) {
+    if (this->entries.lastIndex() - this->committedIndex >= this->settings.uncommittedEntries) {
         return std::nullopt;
     }
     wire::Version version;
-    version.set_index(this->appendOwn(wire::ENTRY_KIND_COMMAND, std::move(command)));
+    version.set_index(this->appendAsLeader(wire::ENTRY_KIND_COMMAND, std::move(command)));
     version.set_term(this->currentTerm);
     return version;
 }
@@ -333,11 +334,11 @@
         return;
     }
     this->syncedTicket = std::max(this->syncedTicket, ticket);
-    while (!this->appended.empty() && this->appended.front().ticket <= this->syncedTicket) {
-        this->durableIndex = std::max(this->durableIndex, this->appended.front().lastIndex);
-        this->appended.pop_front();
+    while (!this->pendingAppends.empty() && this->pendingAppends.front().ticket <= this->syncedTicket) {
+        this->durableIndex = std::max(this->durableIndex, this->pendingAppends.front().lastIndex);
+        this->pendingAppends.pop_front();
     }
-    this->sendHeld();
+    this->sendDelayedMessages();
     if (this->snapshotTicket != 0 && this->snapshotTicket <= this->syncedTicket) {
         this->snapshotTicket = 0;
         const std::uint64_t covered = this->snapshot->lastIndex;
@@ -362,7 +363,7 @@
     this->currentRole = Role::Follower;
     this->leader.clear();
     this->isStopped = true;
-    this->held.clear();
+    this->delayedMessages.clear();
     this->operations.clear();
 }
 
@@ -403,7 +404,7 @@
 
 const std::string &RaftCore::diskId() const
 {
-    return this->ownDisk;
+    return this->ownDiskId;
 }
 
 const std::string &RaftCore::votedFor() const
@@ -428,7 +429,7 @@
 
 std::uint64_t RaftCore::commitIndex() const
 {
-    return this->commit;
+    return this->committedIndex;
 }
 
 const SnapshotPtr &RaftCore::lastSnapshot() const
--- a/src/raft/RaftSettings.cpp
+++ b/src/raft/RaftSettings.cpp
@@ -39,10 +39,10 @@
 {
     Findings findings;
     if (this->settings.heartbeat.count() <= 0 || this->settings.heartbeat * 2 > this->settings.electionTimeoutMin) {
-        findings.push_back({"heartbeat", "is not between 1 ms and half of the least election timeout", {}});
+        findings.push_back({"heartbeat", "is not between 1 ms and half of the minimum election timeout", {}});
     }
     if (this->settings.electionTimeoutMax <= this->settings.electionTimeoutMin) {
-        findings.push_back({"election timeout", "the largest is not above the least", {}});
+        findings.push_back({"election timeout", "the maximum is not above the minimum", {}});
     }
     if (this->settings.appendBytes == 0 || this->settings.chunkBytes == 0) {
         findings.push_back({"message bytes", "are zero", {}});
--- a/src/raft/Replication.cpp
+++ b/src/raft/Replication.cpp
@@ -7,10 +7,11 @@
 
 void RaftCore::replicate()
 {
-    const bool roundNeeded = this->termStartApplied && !this->confirms.empty() && this->confirms.back().round == 0;
+    const bool roundNeeded =
+        this->termStartApplied && !this->pendingConfirms.empty() && this->pendingConfirms.back().round == 0;
     if (roundNeeded) {
         this->round++;
-        for (PendingConfirm &pending : this->confirms) {
+        for (PendingConfirm &pending : this->pendingConfirms) {
             pending.round = pending.round == 0 ? this->round : pending.round;
         }
         this->checkConfirms();
@@ -23,27 +24,29 @@
 
 void RaftCore::sendEntries(Progress &progress)
 {
-    if (progress.snapshot == nullptr && progress.next <= this->entries.base()) {
+    if (progress.snapshot == nullptr && progress.nextIndex <= this->entries.base()) {
         this->startSnapshot(progress);
     }
     if (progress.snapshot != nullptr) {
         this->sendChunk(progress);
-    } else if (!progress.probing) {
-        const std::uint64_t most = std::min(this->entries.lastIndex(), progress.match + this->settings.inFlightEntries);
-        while (progress.next <= most) {
-            wire::RaftMessage request = this->appendMessage(progress, progress.next - 1);
+    } else if (!progress.isProbing) {
+        const std::uint64_t lastToSend =
+            std::min(this->entries.lastIndex(), progress.matchIndex + this->settings.inFlightEntries);
+        while (progress.nextIndex <= lastToSend) {
+            wire::RaftMessage request = this->appendMessage(progress, progress.nextIndex - 1);
             wire::AppendRequest *body = request.mutable_append_request();
             std::size_t bytes = 0;
-            while (progress.next <= most
-                   && (bytes == 0
-                       || bytes + this->entries.at(progress.next).payload().size() <= this->settings.appendBytes)) {
-                const wire::LogEntry &entry = this->entries.at(progress.next);
+            while (
+                progress.nextIndex <= lastToSend
+                && (bytes == 0
+                    || bytes + this->entries.at(progress.nextIndex).payload().size() <= this->settings.appendBytes)) {
+                const wire::LogEntry &entry = this->entries.at(progress.nextIndex);
                 bytes += entry.payload().size() + 1;
                 *body->add_entries() = entry;
-                progress.next++;
+                progress.nextIndex++;
             }
             progress.sendDue = false;
-            progress.lastSent = this->now;
+            progress.lastSentAt = this->now;
             this->send(progress.replica.address(), std::move(request), 0);
         }
     }
@@ -55,9 +58,9 @@
 void RaftCore::sendHeartbeat(Progress &progress)
 {
     progress.sendDue = false;
-    progress.lastSent = this->now;
+    progress.lastSentAt = this->now;
     const bool transferring = progress.snapshot != nullptr;
-    this->send(progress.replica.address(), this->appendMessage(progress, transferring ? 0 : progress.next - 1), 0);
+    this->send(progress.replica.address(), this->appendMessage(progress, transferring ? 0 : progress.nextIndex - 1), 0);
 }
 
 wire::RaftMessage RaftCore::appendMessage(const Progress &progress, std::uint64_t previousIndex) const
@@ -66,7 +69,7 @@
     wire::AppendRequest *body = request.mutable_append_request();
     body->set_previous_index(previousIndex);
     body->set_previous_term(previousIndex == 0 ? 0 : this->entries.termAt(previousIndex).value());
-    body->set_commit_index(this->commit);
+    body->set_commit_index(this->committedIndex);
     body->set_round(this->round);
     return request;
 }
@@ -78,7 +81,7 @@
         this->becomeFollower(message.term(), message.from());
     }
     this->leader = message.from();
-    this->lastLeaderContact = this->now;
+    this->lastLeaderContactAt = this->now;
     this->resetElectionTimer();
 }
 
@@ -112,7 +115,8 @@
     }
     const std::uint64_t matched = previous + static_cast<std::uint64_t>(request.entries_size());
     this->applyThrough(std::min(request.commit_index(), matched));
-    // An empty append says again only what is on disk, so it needn't wait for a sync: a slow disk is no lost leader.
+    // An empty append acknowledges only entries that are already durable, so its answer does not wait for a sync: a
+    // slow disk must not look like an unresponsive follower.
     const bool entriesWait = request.entries_size() > 0 && matched > this->durableIndex;
     wire::RaftMessage answer = this->answerTo(message);
     wire::AppendReply *reply = answer.mutable_append_reply();
@@ -126,9 +130,9 @@
 {
     const wire::AppendRequest &request = message.append_request();
     std::uint64_t hint = std::min(request.previous_index(), this->entries.lastIndex() + 1);
-    if (hint > this->commit && hint <= this->entries.lastIndex()) {
-        // Skips the whole conflicting term instead of going back entry by entry.
-        hint = std::max(this->entries.firstOfTerm(hint), this->commit + 1);
+    if (hint > this->committedIndex && hint <= this->entries.lastIndex()) {
+        // Skips the whole conflicting term instead of stepping back one entry at a time.
+        hint = std::max(this->entries.firstIndexOfTerm(hint), this->committedIndex + 1);
     }
     wire::RaftMessage answer = this->answerTo(message);
     wire::AppendReply *reply = answer.mutable_append_reply();
@@ -140,7 +144,7 @@
 
 void RaftCore::recordAnswer(Progress &progress, std::uint64_t answeredRound)
 {
-    progress.lastAnswer = this->now;
+    progress.lastAnswerAt = this->now;
     progress.answeredRound = std::max(progress.answeredRound, answeredRound);
 }
 
@@ -154,45 +158,47 @@
     const wire::AppendReply &reply = message.append_reply();
     this->recordAnswer(progress, reply.round());
     if (reply.accepted()) {
-        progress.probing = false;
-        progress.match = std::max(progress.match, std::min(reply.match_index(), this->entries.lastIndex()));
-        progress.next = std::max(progress.next, progress.match + 1);
+        progress.isProbing = false;
+        progress.matchIndex = std::max(progress.matchIndex, std::min(reply.match_index(), this->entries.lastIndex()));
+        progress.nextIndex = std::max(progress.nextIndex, progress.matchIndex + 1);
         this->advanceCommit();
     } else if (progress.snapshot == nullptr) {
-        progress.probing = true;
+        progress.isProbing = true;
         progress.sendDue = true;
-        progress.next = std::clamp(reply.hint_index(), progress.match + 1, this->entries.lastIndex() + 1);
+        progress.nextIndex = std::clamp(reply.hint_index(), progress.matchIndex + 1, this->entries.lastIndex() + 1);
     }
     this->checkConfirms();
     this->continueLeadershipTransfer();
 }
 
 /*
- * Guards against committing an entry of an older term by counting replicas: a later leader could still replace it.
- * Only an entry of the own term is counted; older ones are committed with it.
+ * Advances the commit index to the last entry that a quorum holds durably. Only entries of the current term are
+ * committed by counting replicas, since a later leader could still replace an entry of an older term; older entries are
+ * committed along with them.
  */
 void RaftCore::advanceCommit()
 {
     std::vector<std::uint64_t> matches;
     for (const wire::Replica &replica : this->membership().replicas()) {
         if (replica.voter()) {
-            // The leader counts itself only for what its own disk has synced.
-            matches.push_back(this->isSelf(replica) ? this->durableIndex : this->progresses.at(replica.id()).match);
+            // The leader counts itself only for the entries that its own disk has synced.
+            matches.push_back(this->isSelf(replica) ? this->durableIndex
+                                                    : this->progresses.at(replica.id()).matchIndex);
         }
     }
     std::sort(matches.begin(), matches.end(), std::greater<>());
     const std::uint64_t candidate = matches[matches.size() / 2];
-    if (candidate > this->commit && this->entries.termAt(candidate) == this->currentTerm) {
+    if (candidate > this->committedIndex && this->entries.termAt(candidate) == this->currentTerm) {
         this->applyThrough(candidate);
     }
 }
 
 void RaftCore::applyThrough(std::uint64_t index)
 {
-    this->commit = std::max(this->commit, index);
-    while (this->applied < this->commit) {
-        this->applied++;
-        const wire::LogEntry &entry = this->entries.at(this->applied);
+    this->committedIndex = std::max(this->committedIndex, index);
+    while (this->lastApplied < this->committedIndex) {
+        this->lastApplied++;
+        const wire::LogEntry &entry = this->entries.at(this->lastApplied);
         this->emit(ApplyEntry{entry});
         if (this->currentRole == Role::Leader && entry.index() == this->termStartIndex) {
             this->termStartApplied = true;
@@ -202,7 +208,7 @@
             this->onMembershipCommitted(entry);
         }
     }
-    this->wantSnapshot();
+    this->requestSnapshotIfDue();
 }
 
 void RaftCore::confirm(RequestId request)
@@ -211,26 +217,27 @@
         this->emit(Confirmed{request, false});
         return;
     }
-    this->confirms.push_back({request, 0});
+    this->pendingConfirms.push_back({request, 0});
 }
 
 /*
- * Guards against a stale read: a leader that was replaced behind a partition still holds its old state. An answer
- * counts only for rounds begun after the request arrived, so a quorum was on our side at a moment after the request;
- * every change acknowledged before it is in our log, and applied before the answer leaves.
+ * Answers confirmations (ReadIndex). A leader that was replaced during a partition still has its old state and could
+ * serve stale reads. An answer counts only for rounds started after the request arrived, so a quorum recognised this
+ * leader at a moment after the request; every change acknowledged before then is in its log, and applied before the
+ * answer is sent.
  */
 void RaftCore::checkConfirms()
 {
-    while (!this->confirms.empty() && this->confirms.front().round != 0) {
-        const std::uint64_t needed = this->confirms.front().round;
+    while (!this->pendingConfirms.empty() && this->pendingConfirms.front().round != 0) {
+        const std::uint64_t needed = this->pendingConfirms.front().round;
         const bool confirmed = this->hasQuorum([this, needed](const wire::Replica &replica) {
             return this->isSelf(replica) || this->progresses.at(replica.id()).answeredRound >= needed;
         });
         if (!confirmed) {
             return;
         }
-        this->emit(Confirmed{this->confirms.front().request, true});
-        this->confirms.pop_front();
+        this->emit(Confirmed{this->pendingConfirms.front().request, true});
+        this->pendingConfirms.pop_front();
     }
 }
 
--- a/src/raft/SnapshotTransfer.cpp
+++ b/src/raft/SnapshotTransfer.cpp
@@ -10,10 +10,10 @@
 
 namespace {
 
-/** A lost chunk is sent again after this many heartbeats without an answer. */
+/** Heartbeat intervals without an answer after which a chunk counts as lost and is sent again. */
 constexpr int ChunkResendHeartbeats = 4;
 
-/** A larger state is refused: it would not fit the replica's memory. */
+/** Maximum size of a received snapshot; a larger one would not fit the memory of the replica. */
 constexpr std::size_t MaxSnapshotBytes = std::size_t{1} << 30;
 
 } // namespace
@@ -28,7 +28,7 @@
 
 void RaftCore::sendChunk(Progress &progress)
 {
-    const bool lost = this->now - progress.chunkSent >= ChunkResendHeartbeats * this->settings.heartbeat;
+    const bool lost = this->now - progress.chunkSentAt >= ChunkResendHeartbeats * this->settings.heartbeat;
     if (!progress.chunkDue && !lost) {
         return;
     }
@@ -47,8 +47,8 @@
         *chunk->mutable_membership() = sent.membership;
     }
     progress.chunkDue = false;
-    progress.chunkSent = this->now;
-    progress.lastSent = this->now;
+    progress.chunkSentAt = this->now;
+    progress.lastSentAt = this->now;
     progress.sendDue = false;
     this->send(progress.replica.address(), std::move(request), 0);
 }
@@ -68,25 +68,27 @@
 {
     const wire::SnapshotChunk &chunk = message.snapshot_chunk();
     this->followLeader(message);
-    if (chunk.last_index() <= this->commit) {
-        this->incoming.reset();
+    if (chunk.last_index() <= this->committedIndex) {
+        this->incomingSnapshot.reset();
         this->replySnapshot(message, 0, true);
         return;
     }
-    const bool continues = this->incoming && this->incoming->from == message.from()
-                           && this->incoming->term == message.term() && this->incoming->lastIndex == chunk.last_index()
-                           && this->incoming->lastTerm == chunk.last_term();
+    const bool continues = this->incomingSnapshot && this->incomingSnapshot->from == message.from()
+                           && this->incomingSnapshot->term == message.term()
+                           && this->incomingSnapshot->lastIndex == chunk.last_index()
+                           && this->incomingSnapshot->lastTerm == chunk.last_term();
     if (!continues) {
-        this->incoming = IncomingSnapshot{message.from(), message.term(), chunk.last_index(), chunk.last_term(), {}};
+        this->incomingSnapshot =
+            IncomingSnapshot{message.from(), message.term(), chunk.last_index(), chunk.last_term(), {}};
     }
-    std::string &data = this->incoming->data;
+    std::string &data = this->incomingSnapshot->data;
     if (chunk.offset() != data.size()) {
         this->replySnapshot(message, data.size(), false);
         return;
     }
     data += chunk.data();
     if (data.size() > MaxSnapshotBytes) {
-        this->incoming.reset();
+        this->incomingSnapshot.reset();
         return;
     }
     if (!chunk.done()) {
@@ -94,7 +96,7 @@
         return;
     }
     if (XXH3_64bits(data.data(), data.size()) != chunk.checksum()) {
-        this->incoming.reset();
+        this->incomingSnapshot.reset();
         this->replySnapshot(message, 0, false);
         return;
     }
@@ -103,7 +105,7 @@
     received->lastTerm = chunk.last_term();
     received->membership = chunk.membership();
     received->data = std::move(data);
-    this->incoming.reset();
+    this->incomingSnapshot.reset();
     this->install(std::move(received));
     this->replySnapshot(message, 0, true);
 }
@@ -119,15 +121,15 @@
     } else {
         this->entries.reset(index, this->snapshot->lastTerm);
         this->memberships.clear();
-        this->appended.clear();
+        this->pendingAppends.clear();
         this->durableIndex = 0;
     }
     this->memberships[index] = this->snapshot->membership;
-    this->commit = index;
-    this->applied = index;
+    this->committedIndex = index;
+    this->lastApplied = index;
     this->write(SaveSnapshot{this->snapshot, !agrees});
-    this->appended.push_back({this->nextTicket(), std::max(index, agrees ? this->entries.lastIndex() : index)});
-    this->snapshotWanted = 0;
+    this->pendingAppends.push_back({this->nextTicket(), std::max(index, agrees ? this->entries.lastIndex() : index)});
+    this->requestedSnapshotIndex = 0;
     this->snapshotTicket = 0;
     this->emit(RestoreSnapshot{this->snapshot});
 }
@@ -151,33 +153,34 @@
         progress.snapshotOffset = fits ? reply.next_offset() : 0;
         return;
     }
-    progress.match = std::max(progress.match, reply.last_index());
-    progress.next = progress.match + 1;
-    progress.probing = false;
+    progress.matchIndex = std::max(progress.matchIndex, reply.last_index());
+    progress.nextIndex = progress.matchIndex + 1;
+    progress.isProbing = false;
     progress.sendDue = true;
     progress.snapshot.reset();
     this->advanceCommit();
 }
 
-void RaftCore::wantSnapshot()
+void RaftCore::requestSnapshotIfDue()
 {
     const std::uint64_t covered = this->snapshot ? this->snapshot->lastIndex : 0;
-    if (this->snapshotWanted != 0 || this->snapshotTicket != 0
-        || this->applied - covered < this->settings.snapshotEntries + this->snapshotDelay) {
+    if (this->requestedSnapshotIndex != 0 || this->snapshotTicket != 0
+        || this->lastApplied - covered < this->settings.snapshotEntries + this->snapshotJitter) {
         return;
     }
-    // A disk that writes a snapshot keeps appends waiting: at the same entry everywhere, no quorum would be quick.
-    this->snapshotDelay = this->random(static_cast<std::uint32_t>(this->settings.snapshotEntries));
-    this->snapshotWanted = this->applied;
-    this->emit(TakeSnapshot{this->applied});
+    // A disk delays appends while it writes a snapshot. Without the jitter all replicas would take theirs at the same
+    // entry, and no quorum could acknowledge quickly.
+    this->snapshotJitter = this->random(static_cast<std::uint32_t>(this->settings.snapshotEntries));
+    this->requestedSnapshotIndex = this->lastApplied;
+    this->emit(TakeSnapshot{this->lastApplied});
 }
 
 void RaftCore::snapshotTaken(std::uint64_t index, std::string data)
 {
-    if (this->isStopped || index != this->snapshotWanted) {
+    if (this->isStopped || index != this->requestedSnapshotIndex) {
         return;
     }
-    this->snapshotWanted = 0;
+    this->requestedSnapshotIndex = 0;
     auto taken = std::make_shared<Snapshot>();
     taken->lastIndex = index;
     taken->lastTerm = this->entries.termAt(index).value();
