--- a/tests/RaftChecks.cpp
+++ b/tests/RaftChecks.cpp
@@ -6,19 +6,19 @@
 
 namespace {
 
-/** How far below the highest place of agreement two logs are compared after each turn. */
+/** Number of entries compared in two logs after each turn, from the highest index at which they match downwards. */
 constexpr std::uint64_t ComparedEntries = 6;
 
 } // namespace
 
-void RaftChecks::require(bool holds, const FakeReplica &replica, const std::string &what)
+void RaftChecks::require(bool condition, const FakeReplica &replica, const std::string &what)
 {
-    if (!holds) {
+    if (!condition) {
         this->violations.push_back(replica.id + ": " + what);
     }
 }
 
-void RaftChecks::sent(const FakeReplica &replica, const wire::RaftMessage &message)
+void RaftChecks::checkSent(const FakeReplica &replica, const wire::RaftMessage &message)
 {
     const raft::PersistentState &durable = replica.disk.durable;
     const bool ownVote = message.has_vote_request() && !message.vote_request().pre_vote();
@@ -41,7 +41,7 @@
     }
 }
 
-void RaftChecks::applied(const FakeReplica &replica, const wire::LogEntry &entry)
+void RaftChecks::checkApplied(const FakeReplica &replica, const wire::LogEntry &entry)
 {
     this->require(entry.index() == replica.appliedIndex + 1, replica, "applied out of order");
     const std::string state = stateAfter(replica.state, entry);
@@ -52,56 +52,56 @@
     this->require(known->second.state == state, replica, "states differ at " + std::to_string(entry.index()));
 }
 
-void RaftChecks::restored(const FakeReplica &replica, const raft::Snapshot &snapshot)
+void RaftChecks::checkRestored(const FakeReplica &replica, const raft::Snapshot &snapshot)
 {
     const auto known = this->committed.find(snapshot.lastIndex);
     const bool same = known != this->committed.end() && known->second.state == snapshot.data;
-    this->require(same, replica, "restored a state that nobody had at " + std::to_string(snapshot.lastIndex));
+    this->require(same, replica, "restored a state that no replica had at " + std::to_string(snapshot.lastIndex));
 }
 
-void RaftChecks::confirmed(const FakeReplica &replica, std::uint64_t acknowledgedBefore)
+void RaftChecks::checkConfirmed(const FakeReplica &replica, std::uint64_t acknowledgedBefore)
 {
     this->require(replica.appliedIndex >= acknowledgedBefore, replica, "confirmed a stale state");
 }
 
-void RaftChecks::checkPrefix(const FakeReplica &one, const FakeReplica &other)
+void RaftChecks::checkLogMatching(const FakeReplica &one, const FakeReplica &other)
 {
-    const raft::Log &left = one.core->log();
-    const raft::Log &right = other.core->log();
-    const std::uint64_t least = std::max(left.base(), right.base());
-    std::uint64_t index = std::min(left.lastIndex(), right.lastIndex());
-    while (index > least && left.at(index).term() != right.at(index).term()) {
+    const raft::Log &ownLog = one.core->log();
+    const raft::Log &otherLog = other.core->log();
+    const std::uint64_t minIndex = std::max(ownLog.base(), otherLog.base());
+    std::uint64_t index = std::min(ownLog.lastIndex(), otherLog.lastIndex());
+    while (index > minIndex && ownLog.at(index).term() != otherLog.at(index).term()) {
         index--;
     }
-    for (std::uint64_t below = 0; below < ComparedEntries && index > least; ++below, --index) {
-        const bool same =
-            left.at(index).term() == right.at(index).term() && left.at(index).payload() == right.at(index).payload();
-        this->require(same, one, "log differs from " + other.id + "'s below a place of agreement");
+    for (std::uint64_t below = 0; below < ComparedEntries && index > minIndex; ++below, --index) {
+        const bool same = ownLog.at(index).term() == otherLog.at(index).term()
+                          && ownLog.at(index).payload() == otherLog.at(index).payload();
+        this->require(same, one, "log differs from that of " + other.id + " below a matching index");
     }
 }
 
-void RaftChecks::turnEnded(const FakeReplica &replica, const std::map<std::string, FakeReplica> &all)
+void RaftChecks::checkTurn(const FakeReplica &replica, const std::map<std::string, FakeReplica> &all)
 {
     for (const auto &[id, other] : all) {
         if (other.core && id != replica.id) {
-            this->checkPrefix(replica, other);
+            this->checkLogMatching(replica, other);
         }
     }
     if (replica.core->role() != raft::Role::Leader) {
         return;
     }
     const std::uint64_t term = replica.core->term();
-    const std::string who = replica.id + "/" + replica.core->diskId();
-    const auto [leader, elected] = this->leaderOfTerm.emplace(term, who);
-    this->require(leader->second == who, replica, "second leader in term " + std::to_string(term));
+    const std::string identity = replica.id + "/" + replica.core->diskId();
+    const auto [leader, elected] = this->leaderOfTerm.emplace(term, identity);
+    this->require(leader->second == identity, replica, "second leader in term " + std::to_string(term));
     const raft::Log &log = replica.core->log();
     for (auto entry = this->committed.rbegin(); entry != this->committed.rend(); ++entry) {
         if (entry->first <= log.base()) {
             break;
         }
-        const bool known = entry->second.knownInTerm <= term;
+        const bool known = entry->second.appliedInTerm <= term;
         const bool held = log.termAt(entry->first) == entry->second.term;
-        this->require(!known || held, replica, "leads without committed entry " + std::to_string(entry->first));
+        this->require(!known || held, replica, "is leader without committed entry " + std::to_string(entry->first));
         if (!elected && known) {
             break;
         }
--- a/tests/RaftChecks.h
+++ b/tests/RaftChecks.h
@@ -6,26 +6,29 @@
 
 namespace bergamotweir::tests {
 
-/** What must always hold in a group of replicas, checked after every event. */
+/** Checks the safety properties of a group of replicas after every event. */
 class RaftChecks
 {
 public:
-    /** A promise leaves: what it promises must be on disk, and differ from no earlier one. */
-    void sent(const FakeReplica &replica, const wire::RaftMessage &message);
+    /** A message was sent: a vote or acknowledgement in it must be durable and not contradict an earlier vote. */
+    void checkSent(const FakeReplica &replica, const wire::RaftMessage &message);
 
-    /** An entry was applied: the same at every replica, in order, none left out. */
-    void applied(const FakeReplica &replica, const wire::LogEntry &entry);
+    /** An entry was applied: every replica must apply the same entries, in order and without gaps. */
+    void checkApplied(const FakeReplica &replica, const wire::LogEntry &entry);
 
-    /** A snapshot was restored: the state that all others had there. */
-    void restored(const FakeReplica &replica, const raft::Snapshot &snapshot);
+    /** A snapshot was restored: it must be the state that other replicas had at its index. */
+    void checkRestored(const FakeReplica &replica, const raft::Snapshot &snapshot);
 
-    /** A turn ended: one leader per term, which holds everything committed; logs that agree at a place agree below. */
-    void turnEnded(const FakeReplica &replica, const std::map<std::string, FakeReplica> &all);
+    /**
+     * The events of a turn were processed. Checks election safety (at most one leader per term), leader completeness
+     * (the leader holds every committed entry) and log matching (logs that match at an index match below it).
+     */
+    void checkTurn(const FakeReplica &replica, const std::map<std::string, FakeReplica> &all);
 
-    /** A confirmation was answered: everything acknowledged before it was asked must have been applied. */
-    void confirmed(const FakeReplica &replica, std::uint64_t acknowledgedBefore);
+    /** A leadership confirmation succeeded: everything acknowledged before the request must have been applied. */
+    void checkConfirmed(const FakeReplica &replica, std::uint64_t acknowledgedBefore);
 
-    /** What broke; empty means that everything held. */
+    /** Descriptions of the violated properties; empty if there were none. */
     std::vector<std::string> violations;
 
 private:
@@ -33,12 +36,12 @@
         std::uint64_t term;
         std::string payload;
         std::string state;
-        /** Term of the replica that applied it first. */
-        std::uint64_t knownInTerm;
+        /** Term of the replica that applied the entry first, at that time. */
+        std::uint64_t appliedInTerm;
     };
 
-    void require(bool holds, const FakeReplica &replica, const std::string &what);
-    void checkPrefix(const FakeReplica &one, const FakeReplica &other);
+    void require(bool condition, const FakeReplica &replica, const std::string &what);
+    void checkLogMatching(const FakeReplica &one, const FakeReplica &other);
 
     std::map<std::uint64_t, std::string> leaderOfTerm;
     std::map<std::pair<std::string, std::uint64_t>, std::string> votes;
--- a/tests/RaftCoreTest.cpp
+++ b/tests/RaftCoreTest.cpp
@@ -11,7 +11,7 @@
 
 constexpr BootTime Start{1h};
 
-wire::Membership abc()
+wire::Membership threeVoters()
 {
     wire::Membership membership;
     for (const char *id : {"a", "b", "c"}) {
@@ -41,16 +41,16 @@
     return entry;
 }
 
-/** Replica a of a, b and c, with the entries given behind the membership at index 1; played by hand. */
-class Played
+/** Replica a of the group a, b and c. Its log has the membership at index 1, followed by the entries given. */
+class ManualReplica
 {
 public:
-    explicit Played(std::vector<wire::LogEntry> behind = {})
+    explicit ManualReplica(std::vector<wire::LogEntry> entriesAfter = {})
     {
         raft::PersistentState state;
         state.diskId = "disk a";
-        state.entries.push_back(membershipAt(1, 1, abc()));
-        state.entries.insert(state.entries.end(), behind.begin(), behind.end());
+        state.entries.push_back(membershipAt(1, 1, threeVoters()));
+        state.entries.insert(state.entries.end(), entriesAfter.begin(), entriesAfter.end());
         state.term = state.entries.back().term();
         this->core.emplace(raft::Self{"a", "a", {}, false}, raft::RaftSettings{}, state, 1, Start);
     }
@@ -67,15 +67,15 @@
         return message;
     }
 
-    /** Takes the actions of this turn; syncs at once unless told otherwise. */
-    void turn(bool sync = true)
+    /** Collects the actions until there are none left, and completes disk writes at once if @p sync is set. */
+    void collectActions(bool sync = true)
     {
         while (true) {
-            std::vector<raft::Action> taken = this->core->takeActions();
-            if (taken.empty()) {
+            std::vector<raft::Action> newActions = this->core->takeActions();
+            if (newActions.empty()) {
                 return;
             }
-            for (raft::Action &action : taken) {
+            for (raft::Action &action : newActions) {
                 if (const auto *write = std::get_if<raft::WriteDisk>(&action)) {
                     this->lastTicket = write->ticket;
                     if (sync) {
@@ -90,14 +90,14 @@
     void receive(const wire::RaftMessage &message, bool sync = true)
     {
         this->core->receive(message, this->now);
-        this->turn(sync);
+        this->collectActions(sync);
     }
 
     void becomeLeader()
     {
         this->now += 1s;
         this->core->tick(this->now);
-        this->turn();
+        this->collectActions();
         wire::RaftMessage vote = this->from("b", this->core->term() + 1);
         vote.mutable_vote_reply()->set_granted(true);
         vote.mutable_vote_reply()->set_pre_vote(true);
@@ -125,7 +125,7 @@
     }
 
     template<typename OneAction>
-    std::vector<OneAction> taken() const
+    std::vector<OneAction> actionsOf() const
     {
         std::vector<OneAction> found;
         for (const raft::Action &action : this->actions) {
@@ -144,11 +144,11 @@
 
 } // namespace
 
-// An acknowledged change would vanish: a leader finds an entry of an older term on a majority and calls it committed,
-// is lost, and a replica with a newer last term, which never saw that entry, leads and overwrites it.
-TEST_CASE("an entry of an older term is not committed by counting its replicas", "[raft]")
+// Guards against the loss of an acknowledged entry: a leader commits an entry of an older term because a majority holds
+// it, and fails; a replica with a later last term but without that entry becomes leader and overwrites it.
+TEST_CASE("an entry of an older term is not committed by counting replicas", "[raft]")
 {
-    Played a({entryAt(2, 2), entryAt(3, 3)});
+    ManualReplica a({entryAt(2, 2), entryAt(3, 3)});
     a.becomeLeader();
     a.receive(a.acknowledgement("b", 3));
     REQUIRE(a.core->commitIndex() == 0);
@@ -156,42 +156,42 @@
     REQUIRE(a.core->commitIndex() == 4);
 }
 
-// An operator reads a state that was replaced: an answer to an older round, sent before the leader was replaced,
-// arrives after the request and would confirm it.
-TEST_CASE("a confirmation counts only answers to rounds begun after it was asked for", "[raft]")
+// Guards against a stale read: the answer to an earlier round, sent before the leader was replaced, arrives after the
+// request and would confirm it.
+TEST_CASE("a confirmation counts only answers to rounds started after the request", "[raft]")
 {
-    Played a;
+    ManualReplica a;
     a.becomeLeader();
     a.receive(a.acknowledgement("b", 2));
     a.core->confirm(1);
-    a.turn();
+    a.collectActions();
     a.core->confirm(2);
-    a.turn();
+    a.collectActions();
     a.receive(a.acknowledgement("b", 2, 1));
-    REQUIRE(a.taken<raft::Confirmed>().size() == 1);
-    REQUIRE(a.taken<raft::Confirmed>().front().request == 1);
+    REQUIRE(a.actionsOf<raft::Confirmed>().size() == 1);
+    REQUIRE(a.actionsOf<raft::Confirmed>().front().request == 1);
     a.receive(a.acknowledgement("b", 2, 2));
-    REQUIRE(a.taken<raft::Confirmed>().size() == 2);
+    REQUIRE(a.actionsOf<raft::Confirmed>().size() == 2);
 }
 
-// The same from a new leader that doesn't know yet how far the log was committed before it.
+// Guards against a stale read from a new leader that does not know yet up to which index the log was committed.
 TEST_CASE("a new leader confirms nothing before an entry of its own term is applied", "[raft]")
 {
-    Played a({entryAt(2, 1)});
+    ManualReplica a({entryAt(2, 1)});
     a.becomeLeader();
     a.core->confirm(1);
-    a.turn();
+    a.collectActions();
     a.receive(a.acknowledgement("b", 1, 1));
-    REQUIRE(a.taken<raft::Confirmed>().empty());
+    REQUIRE(a.actionsOf<raft::Confirmed>().empty());
     a.receive(a.acknowledgement("b", 3, 0));
     a.receive(a.acknowledgement("b", 3, 1));
-    REQUIRE(a.taken<raft::Confirmed>().size() == 1);
+    REQUIRE(a.actionsOf<raft::Confirmed>().size() == 1);
 }
 
-// A leader that works is unseated by a replica that lost sight of it alone.
-TEST_CASE("a replica that hears its leader takes no higher term from a candidate, unless handed over", "[raft]")
+// Guards against a working leader that is deposed because a single replica lost contact with it.
+TEST_CASE("a replica in contact with its leader accepts a higher term only in a leadership transfer", "[raft]")
 {
-    Played a;
+    ManualReplica a;
     a.receive(a.append(1, 1, 1));
     wire::RaftMessage request = a.from("c", 5);
     request.mutable_vote_request()->set_last_log_index(9);
@@ -204,12 +204,13 @@
     REQUIRE(a.core->votedFor() == "c/disk c");
 }
 
-// Voters disagree about who counts: a membership that was never committed stays in force after its entry is replaced.
-TEST_CASE("a membership ends with its entry", "[raft]")
+// Guards against voters that use different quorums: a membership that was never committed must not stay in effect after
+// its entry was replaced.
+TEST_CASE("a membership is reverted when its entry is truncated", "[raft]")
 {
-    wire::Membership more = abc();
+    wire::Membership more = threeVoters();
     more.add_replicas()->set_id("d");
-    Played a({membershipAt(2, 1, more)});
+    ManualReplica a({membershipAt(2, 1, more)});
     REQUIRE(a.core->membership().replicas_size() == 4);
     wire::RaftMessage append = a.append(2, 1, 1);
     *append.mutable_append_request()->add_entries() = entryAt(2, 2);
@@ -217,11 +218,11 @@
     REQUIRE(a.core->membership().replicas_size() == 3);
 }
 
-// A committed entry is forgotten with a crash: an entry is replaced while the disk is busy, and the sync of the old
-// one is taken for the sync of the new one.
-TEST_CASE("the sync of a replaced entry doesn't count for the one in its place", "[raft]")
+// Guards against a committed entry that is lost in a crash: an entry is replaced while the disk is busy, and the sync
+// of the old entry is mistaken for the sync of the new one.
+TEST_CASE("the sync of a replaced entry does not count for its replacement", "[raft]")
 {
-    Played a;
+    ManualReplica a;
     wire::RaftMessage first = a.append(1, 1, 1);
     *first.mutable_append_request()->add_entries() = entryAt(2, 1);
     a.receive(first, false);
@@ -231,49 +232,51 @@
     *second.mutable_append_request()->add_entries() = entryAt(2, 2);
     a.receive(second, false);
     a.core->diskSynced(termSaved);
-    a.turn(false);
+    a.collectActions(false);
     a.actions.clear();
     a.receive(a.append(2, 2, 2), false);
-    REQUIRE(a.taken<raft::SendMessage>().back().message.append_reply().match_index() == 1);
+    REQUIRE(a.actionsOf<raft::SendMessage>().back().message.append_reply().match_index() == 1);
     a.core->diskSynced(a.lastTicket);
     a.receive(a.append(2, 2, 2));
-    REQUIRE(a.taken<raft::SendMessage>().back().message.append_reply().match_index() == 2);
+    REQUIRE(a.actionsOf<raft::SendMessage>().back().message.append_reply().match_index() == 2);
 }
 
-// A planned stop becomes an election without a winner: the replica asked to take over misses entries and can't win.
-TEST_CASE("leadership is handed over only to a replica that holds the whole log", "[raft]")
+// Guards against a planned stop that causes an election without a winner: a target that misses entries cannot win.
+TEST_CASE("leadership is transferred only to a replica that holds the whole log", "[raft]")
 {
-    Played a({entryAt(2, 1)});
+    ManualReplica a({entryAt(2, 1)});
     a.becomeLeader();
     a.receive(a.acknowledgement("b", 2));
     a.core->transferLeadership();
-    a.turn();
-    const auto asked = [&a] {
-        const std::vector<raft::SendMessage> sent = a.taken<raft::SendMessage>();
+    a.collectActions();
+    const auto wasRequested = [&a] {
+        const std::vector<raft::SendMessage> sent = a.actionsOf<raft::SendMessage>();
         return std::any_of(sent.begin(), sent.end(), [](const raft::SendMessage &send) {
             return send.message.has_hand_over();
         });
     };
-    REQUIRE_FALSE(asked());
+    REQUIRE_FALSE(wasRequested());
     a.receive(a.acknowledgement("b", 3));
-    REQUIRE(asked());
+    REQUIRE(wasRequested());
 }
 
-// A message that no correct leader sends, with a hole between its entries, must not stop or confuse a replica.
+// Guards against a message that no correct leader sends: the index of its first entry does not follow the previous
+// index.
 TEST_CASE("a malformed append is ignored", "[raft]")
 {
-    Played a;
+    ManualReplica a;
     wire::RaftMessage append = a.append(1, 1, 1);
     *append.mutable_append_request()->add_entries() = entryAt(3, 1);
     a.receive(append);
     REQUIRE(a.core->log().lastIndex() == 1);
-    REQUIRE(a.taken<raft::SendMessage>().empty());
+    REQUIRE(a.actionsOf<raft::SendMessage>().empty());
 }
 
-// A replica came back with another disk: neither what is meant for its old disk nor what it answers may count.
+// Guards against a replica that restarted with another disk: messages for the old disk and answers from the new one
+// must not count.
 TEST_CASE("messages for another disk and answers from another disk are ignored", "[raft]")
 {
-    Played a;
+    ManualReplica a;
     wire::RaftMessage request = a.from("b", 7);
     request.mutable_vote_request()->set_last_log_index(9);
     request.mutable_vote_request()->set_last_log_term(7);
--- a/tests/RaftFakes.cpp
+++ b/tests/RaftFakes.cpp
@@ -6,13 +6,13 @@
 
 namespace bergamotweir::tests {
 
-void carryOut(raft::PersistentState &durable, const raft::DiskOperation &operation, std::size_t most)
+void applyOperation(raft::PersistentState &durable, const raft::DiskOperation &operation, std::size_t maxEntries)
 {
     if (const auto *vote = std::get_if<raft::SaveVote>(&operation)) {
         durable.term = vote->term;
         durable.votedFor = vote->votedFor;
     } else if (const auto *append = std::get_if<raft::AppendEntries>(&operation)) {
-        const auto count = static_cast<std::ptrdiff_t>(std::min(most, append->entries.size()));
+        const auto count = static_cast<std::ptrdiff_t>(std::min(maxEntries, append->entries.size()));
         durable.entries.insert(durable.entries.end(), append->entries.begin(), append->entries.begin() + count);
     } else if (const auto *cut = std::get_if<raft::TruncateFrom>(&operation)) {
         std::erase_if(durable.entries, [cut](const wire::LogEntry &entry) {
@@ -40,10 +40,10 @@
     }
     const std::size_t whole = (*torn)(static_cast<std::uint32_t>(unsynced.size()));
     for (std::size_t index = 0; index < whole; ++index) {
-        carryOut(disk.durable, unsynced[index]);
+        applyOperation(disk.durable, unsynced[index]);
     }
     if (std::holds_alternative<raft::AppendEntries>(unsynced[whole])) {
-        carryOut(disk.durable, unsynced[whole], (*torn)(3));
+        applyOperation(disk.durable, unsynced[whole], (*torn)(3));
     }
 }
 
--- a/tests/RaftFakes.h
+++ b/tests/RaftFakes.h
@@ -15,53 +15,58 @@
 
 namespace bergamotweir::tests {
 
-/** What a replica's disk does with a batch. */
-enum class DiskMood { Works, Slow, Fails };
+/** How the disk of a replica handles a batch. */
+enum class DiskMode { Works, Slow, Fails };
 
-/** A disk that keeps what was synced when its replica is killed. */
+/** A disk that keeps only what was synced when its replica is killed. */
 struct FakeDisk {
     raft::PersistentState durable;
     std::vector<raft::WriteDisk> pending;
-    DiskMood mood = DiskMood::Works;
+    DiskMode mode = DiskMode::Works;
     bool syncing = false;
 };
 
-/** One replica: its core, disk, clock and state machine, which is the hash over all it applied. */
+/** One replica: its core, disk, clock and state machine. The state is a hash over all applied entries. */
 struct FakeReplica {
     std::string id;
     bool join = false;
     std::optional<raft::RaftCore> core;
     FakeDisk disk;
-    /** Counts its starts and ends: events of an earlier life are dropped. */
+    /** Incremented at each start and kill; events of an earlier incarnation are dropped. */
     int incarnation = 0;
     bool frozen = false;
-    /** What its process will see when it goes on. */
-    std::vector<std::function<void()>> backlog;
-    /** Speed of its clock in thousandths. */
-    int drift = 1000;
+    /** Events that arrived while the process was frozen. */
+    std::vector<std::function<void()>> deferredEvents;
+    /** Rate of its clock in thousandths of real time. */
+    int clockRatePermille = 1000;
     std::uint64_t appliedIndex = 0;
     std::string state;
 };
 
-/** What the network does with messages. */
+/** Faults and latency of the network. */
 struct FakeNetwork {
-    std::set<std::pair<std::string, std::string>> cuts;
-    /** In percent of messages. */
-    unsigned lost = 0;
-    unsigned doubled = 0;
-    std::chrono::microseconds slowest{2000};
+    std::set<std::pair<std::string, std::string>> blockedLinks;
+    /** Share of lost messages in percent. */
+    unsigned lossPercent = 0;
+    unsigned duplicatePercent = 0;
+    std::chrono::microseconds maxLatency{2000};
 };
 
-/** Carries out an operation on what is durable; @p most limits the entries, to tear a batch. */
-void carryOut(raft::PersistentState &durable, const raft::DiskOperation &operation, std::size_t most = SIZE_MAX);
+/** Applies an operation to the durable state; @p maxEntries limits the entries appended, to simulate a torn batch. */
+void applyOperation(raft::PersistentState &durable,
+                    const raft::DiskOperation &operation,
+                    std::size_t maxEntries = SIZE_MAX);
 
-/** Loses what wasn't synced. @param torn when given, a random part of it happened to reach the disk */
+/**
+ * Drops the operations that were not synced.
+ * @param torn if given, source of randomness for the part of them that reached the disk nevertheless
+ */
 void crash(FakeDisk &disk, pcg32 *torn);
 
-/** @return the newest entry that is durable, by entry or by snapshot */
+/** @return the index of the last durable entry, or of the snapshot if there are no entries */
 std::uint64_t lastIndexOf(const raft::PersistentState &durable);
 
-/** @return the state machine's state after an entry */
+/** @return the state of the state machine after an entry */
 std::string stateAfter(const std::string &state, const wire::LogEntry &entry);
 
 } // namespace bergamotweir::tests
--- a/tests/RaftFaultTest.cpp
+++ b/tests/RaftFaultTest.cpp
@@ -9,14 +9,14 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds Patience{20000};
+constexpr std::chrono::milliseconds MaxWait{20000};
 
-/** A protocol under way when a fault strikes. */
+/** A protocol in progress when a fault is injected. */
 struct Protocol {
     const char *name;
     void (*begin)(RaftPump &pump);
-    /** Voters that it takes away. */
-    unsigned removes = 0;
+    /** Number of voters that it removes. */
+    unsigned removedVoters = 0;
 };
 
 const std::vector<Protocol> &protocols()
@@ -39,27 +39,27 @@
         {"membership, add",
          [](RaftPump &pump) {
              pump.start("d", true);
-             changed(pump, "d", Change::CHANGE_ADD);
+             ensureChange(pump, "d", Change::CHANGE_ADD);
          }},
         {"membership, promote",
          [](RaftPump &pump) {
              pump.start("d", true);
              pump.runUntil(
                  [&pump] {
-                     return changed(pump, "d", Change::CHANGE_ADD);
+                     return ensureChange(pump, "d", Change::CHANGE_ADD);
                  },
-                 Patience);
+                 MaxWait);
              pump.runFor(100ms);
-             changed(pump, "d", Change::CHANGE_PROMOTE);
+             ensureChange(pump, "d", Change::CHANGE_PROMOTE);
          }},
         {"membership, remove the leader",
          [](RaftPump &pump) {
-             changed(pump, pump.leader()->id, Change::CHANGE_REMOVE);
+             ensureChange(pump, pump.leader()->id, Change::CHANGE_REMOVE);
          },
          1},
-        {"hand-over",
+        {"leadership transfer",
          [](RaftPump &pump) {
-             pump.askLeader([](raft::RaftCore &core, raft::RequestId) {
+             pump.callLeader([](raft::RaftCore &core, raft::RequestId) {
                  core.transferLeadership();
              });
          }},
@@ -67,7 +67,7 @@
     return all;
 }
 
-void requireAllHeld(const RaftPump &pump)
+void requireNoViolations(const RaftPump &pump)
 {
     for (const std::string &violation : pump.checks.violations) {
         INFO(violation);
@@ -75,25 +75,25 @@
     }
 }
 
-/** After all faults the group must commit, take every replica in again, and everybody must hold everything. */
+/** After all faults end, the group must commit again, have every replica as a voter, and converge to one state. */
 void requireRecovery(RaftPump &pump)
 {
     healAll(pump);
     const std::uint64_t before = pump.acknowledged;
     const bool finished = pump.runUntil(
         [&] {
-            return repaired(pump) && pump.acknowledged > before + 3;
+            return repairMembership(pump) && pump.acknowledged > before + 3;
         },
-        Patience);
-    requireAllHeld(pump);
+        MaxWait);
+    requireNoViolations(pump);
     REQUIRE(finished);
-    pump.loaded = false;
+    pump.isLoaded = false;
     const bool same = pump.runUntil(
         [&] {
-            return converged(pump);
+            return hasConverged(pump);
         },
-        Patience);
-    requireAllHeld(pump);
+        MaxWait);
+    requireNoViolations(pump);
     REQUIRE(same);
 }
 
@@ -103,7 +103,7 @@
         [&] {
             return pump.leader() != nullptr && pump.acknowledged > 5;
         },
-        Patience));
+        MaxWait));
 }
 
 void runEvents(RaftPump &pump, std::uint64_t events)
@@ -114,16 +114,16 @@
     }
 }
 
-std::vector<std::string> group(unsigned size)
+std::vector<std::string> replicaIds(unsigned size)
 {
     const std::vector<std::string> ids{"a", "b", "c", "e", "f"};
     return {ids.begin(), ids.begin() + size};
 }
 
-/** A majority of the voters has to keep its disk, at any time. */
-unsigned bearableDiskLosses(unsigned size, const Protocol &protocol)
+/** Returns how many disks can be lost: a majority of the voters must keep theirs at any time. */
+unsigned tolerableDiskLosses(unsigned size, const Protocol &protocol)
 {
-    return (size - protocol.removes - 1) / 2;
+    return (size - protocol.removedVoters - 1) / 2;
 }
 
 std::string anyReplica(RaftPump &pump)
@@ -133,26 +133,26 @@
 
 } // namespace
 
-// A user would see two leaders, an acknowledged table or claim vanish, or control stand still after a single fault.
-// Each protocol is begun, the fault strikes the leader or a follower at one of its steps, lasts a while and ends.
-// What is checked after every event is listed in RaftChecks.h.
-TEST_CASE("a single fault at any step of any protocol breaks nothing and is recovered from", "[raft]")
+// Guards against two leaders, lost acknowledged writes and a control group that stops after a single fault.
+// Each protocol is started, the fault hits the leader or a follower at one of its steps, and ends after a while.
+// RaftChecks.h lists the properties checked after every event.
+TEST_CASE("a single fault at any step of any protocol violates no property, and the group recovers", "[raft]")
 {
     std::uint64_t seed = 1;
     for (const Protocol &protocol : protocols()) {
         for (const Fault &fault : faults()) {
-            for (const bool strikesLeader : {true, false}) {
+            for (const bool hitsLeader : {true, false}) {
                 for (unsigned point = 0; point < 8; ++point) {
                     seed++;
-                    INFO(protocol.name << ", " << fault.name << (strikesLeader ? " at the leader" : " at a follower")
+                    INFO(protocol.name << ", " << fault.name << (hitsLeader ? " at the leader" : " at a follower")
                                        << ", seed " << seed);
-                    RaftPump pump(seed, group(protocol.removes > 0 ? 5 : 3));
+                    RaftPump pump(seed, replicaIds(protocol.removedVoters > 0 ? 5 : 3));
                     requireStarted(pump);
                     const std::string leader = pump.leader()->id;
                     const std::string other = follower(pump)->id;
                     protocol.begin(pump);
                     runEvents(pump, point * 40 + pump.random(40));
-                    fault.strike(pump, strikesLeader ? leader : other);
+                    fault.inject(pump, hitsLeader ? leader : other);
                     pump.runFor(std::chrono::milliseconds(50 + pump.random(800)));
                     requireRecovery(pump);
                     REQUIRE(pump.confirmed > 0);
@@ -162,31 +162,31 @@
     }
 }
 
-// A user would see the same when two faults meet: a replica freezes while another one loses its disk.
-// Both begin at any step of a protocol and overlap. A group of three is claimed to bear one lost disk, five bear two.
-TEST_CASE("any two faults together break nothing and are recovered from", "[raft]")
+// Guards against the same failures with two overlapping faults, such as a frozen replica while another loses its disk.
+// Both start at any step of a protocol. A group of three must tolerate one lost disk, a group of five two.
+TEST_CASE("any two overlapping faults violate no property, and the group recovers", "[raft]")
 {
     for (std::uint64_t seed = 1; seed <= 1500; ++seed) {
         const unsigned size = seed % 3 == 0 ? 5 : 3;
-        RaftPump pump(seed, group(size));
+        RaftPump pump(seed, replicaIds(size));
         requireStarted(pump);
         const Protocol &protocol = protocols()[pump.random(static_cast<std::uint32_t>(protocols().size()))];
-        unsigned losses = bearableDiskLosses(size, protocol);
+        unsigned remainingLosses = tolerableDiskLosses(size, protocol);
         protocol.begin(pump);
         runEvents(pump, pump.random(300));
-        std::string struck;
+        std::string injected;
         for (int count = 0; count < 2; ++count) {
             const Fault &fault = faults()[pump.random(static_cast<std::uint32_t>(faults().size()))];
             const bool losesDisk = std::string(fault.name) == "lost disk";
-            if (losesDisk && losses == 0) {
+            if (losesDisk && remainingLosses == 0) {
                 continue;
             }
-            losses -= losesDisk ? 1 : 0;
-            struck += std::string(", ") + fault.name;
-            fault.strike(pump, anyReplica(pump));
+            remainingLosses -= losesDisk ? 1 : 0;
+            injected += std::string(", ") + fault.name;
+            fault.inject(pump, anyReplica(pump));
             runEvents(pump, pump.random(300));
         }
-        INFO(protocol.name << struck << ", seed " << seed);
+        INFO(protocol.name << injected << ", seed " << seed);
         pump.runFor(std::chrono::milliseconds(50 + pump.random(800)));
         requireRecovery(pump);
     }
--- a/tests/RaftPump.cpp
+++ b/tests/RaftPump.cpp
@@ -9,8 +9,8 @@
 using namespace std::chrono_literals;
 
 constexpr std::chrono::milliseconds TickInterval{10};
-constexpr std::chrono::microseconds QuickSync{3000};
-constexpr std::chrono::microseconds SlowSync{400000};
+constexpr std::chrono::microseconds MaxSyncTime{3000};
+constexpr std::chrono::microseconds MaxSlowSyncTime{400000};
 
 } // namespace
 
@@ -37,14 +37,14 @@
     return replica;
 }
 
-std::chrono::microseconds RaftPump::upTo(std::chrono::microseconds most)
+std::chrono::microseconds RaftPump::randomUpTo(std::chrono::microseconds maxDelay)
 {
-    return std::chrono::microseconds(this->random(static_cast<std::uint32_t>(most.count()) + 1));
+    return std::chrono::microseconds(this->random(static_cast<std::uint32_t>(maxDelay.count()) + 1));
 }
 
 BootTime RaftPump::clockOf(const FakeReplica &replica) const
 {
-    return BootTime(1h + std::chrono::nanoseconds(this->now.count() * replica.drift));
+    return BootTime(1h + std::chrono::nanoseconds(this->now.count() * replica.clockRatePermille));
 }
 
 void RaftPump::schedule(FakeReplica &replica, std::chrono::microseconds delay, std::function<void()> event)
@@ -55,7 +55,7 @@
             return;
         }
         if (replica.frozen) {
-            replica.backlog.push_back(event);
+            replica.deferredEvents.push_back(event);
             return;
         }
         event();
@@ -72,7 +72,7 @@
     replica.appliedIndex = 0;
     replica.state.clear();
     if (replica.disk.durable.diskId.empty()) {
-        replica.disk.durable.diskId = "disk" + std::to_string(++this->disks);
+        replica.disk.durable.diskId = "disk" + std::to_string(++this->diskCount);
     }
     const raft::Self self{id, id, this->initial, replica.join};
     const std::uint64_t startSeed = this->seed + static_cast<std::uint64_t>(replica.incarnation);
@@ -86,13 +86,13 @@
     this->schedule(replica, TickInterval, [this, &replica] {
         replica.core->tick(this->clockOf(replica));
         this->tick(replica);
-        if (this->loaded) {
-            this->ask(replica);
+        if (this->isLoaded) {
+            this->proposeAndConfirm(replica);
         }
     });
 }
 
-void RaftPump::ask(FakeReplica &replica)
+void RaftPump::proposeAndConfirm(FakeReplica &replica)
 {
     const std::optional<wire::Version> version = replica.core->propose("command " + std::to_string(this->steps));
     if (!version) {
@@ -111,7 +111,7 @@
     replica.incarnation++;
     replica.core.reset();
     replica.frozen = false;
-    replica.backlog.clear();
+    replica.deferredEvents.clear();
     std::erase_if(this->proposals, [&id](const auto &proposal) {
         return proposal.first.first == id;
     });
@@ -126,7 +126,7 @@
 {
     FakeReplica &replica = this->at(id);
     replica.frozen = false;
-    for (const std::function<void()> &event : std::exchange(replica.backlog, {})) {
+    for (const std::function<void()> &event : std::exchange(replica.deferredEvents, {})) {
         event();
     }
     this->endTurn(replica);
@@ -174,7 +174,7 @@
     return best;
 }
 
-void RaftPump::askLeader(const std::function<void(raft::RaftCore &, raft::RequestId)> &request)
+void RaftPump::callLeader(const std::function<void(raft::RaftCore &, raft::RequestId)> &request)
 {
     if (FakeReplica *asked = this->leader()) {
         request(*asked->core, ++this->lastRequest);
@@ -187,7 +187,7 @@
     while (replica.core) {
         std::vector<raft::Action> actions = replica.core->takeActions();
         if (actions.empty()) {
-            this->checks.turnEnded(replica, this->replicas);
+            this->checks.checkTurn(replica, this->replicas);
             return;
         }
         for (raft::Action &action : actions) {
@@ -203,11 +203,11 @@
 void RaftPump::deliver(const raft::SendMessage &send)
 {
     FakeReplica &target = this->at(send.address);
-    const bool cut = this->network.cuts.contains({send.message.from(), send.address});
-    if (cut || !target.core || this->random(100) < this->network.lost) {
+    const bool isBlocked = this->network.blockedLinks.contains({send.message.from(), send.address});
+    if (isBlocked || !target.core || this->random(100) < this->network.lossPercent) {
         return;
     }
-    this->schedule(target, this->upTo(this->network.slowest), [this, &target, message = send.message] {
+    this->schedule(target, this->randomUpTo(this->network.maxLatency), [this, &target, message = send.message] {
         target.core->receive(message, this->clockOf(target));
     });
 }
@@ -218,10 +218,10 @@
         return;
     }
     replica.disk.syncing = true;
-    const auto most = replica.disk.mood == DiskMood::Slow ? SlowSync : QuickSync;
-    this->schedule(replica, this->upTo(most), [this, &replica, count = replica.disk.pending.size()] {
+    const auto maxDelay = replica.disk.mode == DiskMode::Slow ? MaxSlowSyncTime : MaxSyncTime;
+    this->schedule(replica, this->randomUpTo(maxDelay), [this, &replica, count = replica.disk.pending.size()] {
         replica.disk.syncing = false;
-        if (replica.disk.mood == DiskMood::Fails) {
+        if (replica.disk.mode == DiskMode::Fails) {
             replica.core->diskFailed();
             return;
         }
@@ -229,7 +229,7 @@
         const raft::Ticket ticket = std::prev(end)->ticket;
         for (auto batch = replica.disk.pending.begin(); batch != end; ++batch) {
             for (const raft::DiskOperation &operation : batch->operations) {
-                carryOut(replica.disk.durable, operation);
+                applyOperation(replica.disk.durable, operation);
             }
         }
         replica.disk.pending.erase(replica.disk.pending.begin(), end);
@@ -246,16 +246,16 @@
 
 void RaftPump::perform(FakeReplica &replica, raft::SendMessage &action)
 {
-    this->checks.sent(replica, action.message);
+    this->checks.checkSent(replica, action.message);
     this->deliver(action);
-    if (this->random(100) < this->network.doubled) {
+    if (this->random(100) < this->network.duplicatePercent) {
         this->deliver(action);
     }
 }
 
 void RaftPump::perform(FakeReplica &replica, raft::ApplyEntry &action)
 {
-    this->checks.applied(replica, action.entry);
+    this->checks.checkApplied(replica, action.entry);
     replica.appliedIndex = action.entry.index();
     replica.state = stateAfter(replica.state, action.entry);
     const auto proposal = this->proposals.find({replica.id, action.entry.index()});
@@ -268,7 +268,7 @@
 
 void RaftPump::perform(FakeReplica &replica, raft::RestoreSnapshot &action)
 {
-    this->checks.restored(replica, *action.snapshot);
+    this->checks.checkRestored(replica, *action.snapshot);
     replica.appliedIndex = action.snapshot->lastIndex;
     replica.state = action.snapshot->data;
     this->restored++;
@@ -291,7 +291,7 @@
     const auto asked = this->confirms.extract(action.request);
     if (action.leads) {
         this->confirmed++;
-        this->checks.confirmed(replica, asked.mapped());
+        this->checks.checkConfirmed(replica, asked.mapped());
     }
 }
 
@@ -303,7 +303,7 @@
 
 void RaftPump::perform(FakeReplica &, raft::LeadershipTransferEnded &)
 {
-    this->handOversEnded++;
+    this->transfersEnded++;
 }
 
 } // namespace bergamotweir::tests
--- a/tests/RaftPump.h
+++ b/tests/RaftPump.h
@@ -7,8 +7,8 @@
 namespace bergamotweir::tests {
 
 /**
- * Drives cores with a network, disks and clocks that fail on demand, and checks after every event what must always
- * hold. The same seed gives the same run.
+ * Deterministic simulation of a group of cores with fault injection into network, disks and clocks. Runs RaftChecks
+ * after every event. The same seed gives the same run.
  */
 class RaftPump
 {
@@ -16,21 +16,21 @@
     RaftPump(std::uint64_t seed, const std::vector<std::string> &ids);
 
     void start(const std::string &id, bool join = false);
-    /** Whatever wasn't synced is lost, but for a part of it that happened to reach the disk (torn). */
+    /** Kills a replica. Unsynced writes are lost; with @p torn, a random part of them reaches the disk. */
     void kill(const std::string &id, bool torn = false);
     void freeze(const std::string &id);
     void thaw(const std::string &id);
 
     void step();
-    /** @return false when the condition doesn't hold within the limit of virtual time */
+    /** @return false if the condition did not become true within the limit of simulated time */
     bool runUntil(const std::function<bool()> &condition, std::chrono::milliseconds limit);
     void runFor(std::chrono::milliseconds time);
 
-    /** @return the replica that leads in the highest term; null when none does */
+    /** @return the leader of the highest term; null if there is none */
     FakeReplica *leader();
     FakeReplica &at(const std::string &id);
-    /** Hands the leader a request; nothing happens while there is none. */
-    void askLeader(const std::function<void(raft::RaftCore &, raft::RequestId)> &request);
+    /** Passes a request to the leader; does nothing if there is none. */
+    void callLeader(const std::function<void(raft::RaftCore &, raft::RequestId)> &request);
 
     std::map<std::string, FakeReplica> replicas;
     FakeNetwork network;
@@ -41,19 +41,19 @@
     std::uint64_t restored = 0;
     std::vector<raft::MemberChanged> changes;
     bool changePending = false;
-    int handOversEnded = 0;
-    /** Every leader gets a command and a confirmation to do at each of its ticks. */
-    bool loaded = true;
+    int transfersEnded = 0;
+    /** Whether each leader gets a command and a confirmation request at every tick. */
+    bool isLoaded = true;
     pcg32 random;
 
 private:
     void schedule(FakeReplica &replica, std::chrono::microseconds delay, std::function<void()> event);
     void tick(FakeReplica &replica);
-    void ask(FakeReplica &replica);
+    void proposeAndConfirm(FakeReplica &replica);
     void endTurn(FakeReplica &replica);
     void deliver(const raft::SendMessage &send);
     void startSync(FakeReplica &replica);
-    std::chrono::microseconds upTo(std::chrono::microseconds most);
+    std::chrono::microseconds randomUpTo(std::chrono::microseconds maxDelay);
     BootTime clockOf(const FakeReplica &replica) const;
 
     void perform(FakeReplica &replica, raft::WriteDisk &action);
@@ -74,12 +74,12 @@
     wire::Membership initial;
     std::chrono::microseconds now{0};
     std::multimap<std::chrono::microseconds, std::function<void()>> events;
-    /** Commands taken and not answered: (replica, index) to term. */
+    /** Proposed commands that have not been applied yet: (replica, index) to term. */
     std::map<std::pair<std::string, std::uint64_t>, std::uint64_t> proposals;
-    /** Confirmations asked for, with what had been acknowledged by then. */
+    /** Pending confirmation requests, with the index acknowledged when they were made. */
     std::map<raft::RequestId, std::uint64_t> confirms;
     raft::RequestId lastRequest = 0;
-    int disks = 0;
+    int diskCount = 0;
 };
 
 } // namespace bergamotweir::tests
--- a/tests/RaftRepairTest.cpp
+++ b/tests/RaftRepairTest.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds Patience{20000};
+constexpr std::chrono::milliseconds MaxWait{20000};
 
 bool commitsMore(RaftPump &pump, std::uint64_t more)
 {
@@ -18,16 +18,16 @@
         [&] {
             return pump.acknowledged > before + more;
         },
-        Patience);
+        MaxWait);
 }
 
-void waitChange(RaftPump &pump, const std::string &id, Change::Change change)
+void waitForChange(RaftPump &pump, const std::string &id, Change::Change change)
 {
     REQUIRE(pump.runUntil(
         [&] {
-            return changed(pump, id, change);
+            return ensureChange(pump, id, change);
         },
-        Patience));
+        MaxWait));
 }
 
 std::string lastRefusal(const RaftPump &pump)
@@ -37,10 +37,10 @@
 
 } // namespace
 
-// An operator replaces a lost VM, and right after that a second one is lost: everything acknowledged must be there.
-// Order: c is lost, d is added and promoted, c is removed, then the leader is lost as well.
-// Cause when it breaks: d counted as a voter before it held the log.
-TEST_CASE("a second VM can be lost right after a repair", "[raft]")
+// Guards against the loss of acknowledged entries when a second VM is lost right after the first was replaced: d must
+// not count as a voter before it holds the log.
+// Order: one follower is lost, d is added and promoted, the lost one is removed, then the leader is lost as well.
+TEST_CASE("the group survives the loss of a second VM right after a repair", "[raft]")
 {
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
         INFO("seed " << seed);
@@ -52,9 +52,9 @@
             lost = replica.core ? lost : id;
         }
         pump.start("d", true);
-        waitChange(pump, "d", Change::CHANGE_ADD);
-        waitChange(pump, "d", Change::CHANGE_PROMOTE);
-        waitChange(pump, lost, Change::CHANGE_REMOVE);
+        waitForChange(pump, "d", Change::CHANGE_ADD);
+        waitForChange(pump, "d", Change::CHANGE_PROMOTE);
+        waitForChange(pump, lost, Change::CHANGE_REMOVE);
         pump.kill(pump.leader()->id);
         const std::uint64_t before = pump.acknowledged;
         REQUIRE(commitsMore(pump, 5));
@@ -63,9 +63,10 @@
     }
 }
 
-// An operator would see an acknowledged change vanish. b is cut off while a and c commit; c's VM comes back with an
-// empty disk; a is lost. b and the new c are two of three, but only the old c's disk held what was acknowledged.
-TEST_CASE("a replica that lost its disk doesn't vote as its old self", "[raft]")
+// Guards against the loss of an acknowledged entry: b is partitioned while a and c commit, c restarts with an empty
+// disk, and a is lost. b and the new c are two of three, but the acknowledged entries were on the disks of a and the
+// old c only.
+TEST_CASE("a replica that lost its disk does not vote under its old identity", "[raft]")
 {
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
         INFO("seed " << seed);
@@ -74,7 +75,7 @@
         const std::string leader = pump.leader()->id;
         const std::string late = follower(pump)->id;
         for (const auto &[id, replica] : pump.replicas) {
-            pump.network.cuts.insert({id, late});
+            pump.network.blockedLinks.insert({id, late});
         }
         REQUIRE(commitsMore(pump, 20));
         for (auto &[id, replica] : pump.replicas) {
@@ -85,7 +86,7 @@
             }
         }
         pump.kill(leader);
-        pump.network.cuts.clear();
+        pump.network.blockedLinks.clear();
         pump.runFor(5s);
         REQUIRE(pump.leader() == nullptr);
         pump.start(leader);
@@ -94,9 +95,9 @@
     }
 }
 
-// The same during the very first election, when no disk id is known yet: a acknowledges nothing before all three are
-// bound, so that two empty disks can't form a second group beside it.
-TEST_CASE("the first group is formed by all replicas, and a disk lost then forms no second one", "[raft]")
+// Guards against the same fault during the first election, when no disk ids are known yet: nothing is acknowledged
+// before the disk ids of all three replicas are recorded, so two empty disks cannot form a second group.
+TEST_CASE("the initial group needs all replicas, and replicas that lose their disks form no second group", "[raft]")
 {
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
         INFO("seed " << seed);
@@ -110,9 +111,9 @@
                 const raft::Role role = pump.at("a").core->role();
                 return role == raft::Role::Leader || pump.leader() != nullptr;
             },
-            Patience));
+            MaxWait));
         const std::uint64_t acknowledged = pump.acknowledged;
-        // Whoever leads first has its two followers' disks emptied while it's away.
+        // Both followers of the first leader lose their disks, and then the leader is killed.
         const std::string first = pump.at("a").core->role() == raft::Role::Leader ? "a" : pump.leader()->id;
         for (const std::string id : {"a", "b", "c"}) {
             if (id != first) {
@@ -129,34 +130,34 @@
     }
 }
 
-// An operator promotes a learner that is still empty; one more loss would then take acknowledged entries with it.
-TEST_CASE("a learner is promoted only when it has caught up", "[raft]")
+// Guards against promoting a learner that lags: the loss of one more replica could then lose acknowledged entries.
+TEST_CASE("a learner is promoted only after it has caught up", "[raft]")
 {
     RaftPump pump(7, {"a", "b", "c"});
     REQUIRE(commitsMore(pump, 60));
     pump.start("d", true);
-    waitChange(pump, "d", Change::CHANGE_ADD);
+    waitForChange(pump, "d", Change::CHANGE_ADD);
     pump.runFor(200ms);
     for (const char *id : {"a", "b", "c"}) {
-        pump.network.cuts.insert({id, "d"});
+        pump.network.blockedLinks.insert({id, "d"});
     }
     REQUIRE(commitsMore(pump, 40));
-    changed(pump, "d", Change::CHANGE_PROMOTE);
+    ensureChange(pump, "d", Change::CHANGE_PROMOTE);
     REQUIRE(lastRefusal(pump).find("not caught up") != std::string::npos);
-    REQUIRE_FALSE(changed(pump, "d", Change::CHANGE_PROMOTE));
-    pump.network.cuts.clear();
-    waitChange(pump, "d", Change::CHANGE_PROMOTE);
+    REQUIRE_FALSE(ensureChange(pump, "d", Change::CHANGE_PROMOTE));
+    pump.network.blockedLinks.clear();
+    waitForChange(pump, "d", Change::CHANGE_PROMOTE);
     REQUIRE(pump.checks.violations.empty());
 }
 
-// Two operators change the membership at once. Both changes in the log could give two quorums that don't meet.
-TEST_CASE("a second membership change waits for the first", "[raft]")
+// Guards against two concurrent membership changes: with both in the log, two quorums might not overlap.
+TEST_CASE("a membership change is refused while another is in progress", "[raft]")
 {
     RaftPump pump(8, {"a", "b", "c", "e", "f"});
     REQUIRE(commitsMore(pump, 5));
     wire::ChangeMember removal;
     removal.set_change(Change::CHANGE_REMOVE);
-    pump.askLeader([&](raft::RaftCore &core, raft::RequestId request) {
+    pump.callLeader([&](raft::RaftCore &core, raft::RequestId request) {
         removal.mutable_replica()->set_id("a");
         core.changeMember(request, removal);
         removal.mutable_replica()->set_id("b");
@@ -166,21 +167,21 @@
     REQUIRE(lastRefusal(pump).find("in progress") != std::string::npos);
 }
 
-// An operator removes a working replica while another one is down: the group would stop.
+// Guards against removing a working replica while another one is down: the group could no longer commit.
 TEST_CASE("a removal that would cost the quorum is refused", "[raft]")
 {
     RaftPump pump(9, {"a", "b", "c"});
     REQUIRE(commitsMore(pump, 5));
     pump.kill(follower(pump)->id);
     pump.runFor(500ms);
-    changed(pump, follower(pump)->id, Change::CHANGE_REMOVE);
+    ensureChange(pump, follower(pump)->id, Change::CHANGE_REMOVE);
     REQUIRE(lastRefusal(pump).find("too few") != std::string::npos);
     REQUIRE(commitsMore(pump, 5));
 }
 
-// A user would see a pause without a fault: a replica comes back from a long cut, and its higher term unseats a leader
-// that works.
-TEST_CASE("a replica that comes back from a cut doesn't unseat the leader", "[raft]")
+// Guards against a needless interruption: a replica returns from a long partition and its higher term deposes a working
+// leader.
+TEST_CASE("a replica that returns from a partition does not depose the leader", "[raft]")
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         INFO("seed " << seed);
@@ -190,27 +191,27 @@
         const std::uint64_t term = pump.leader()->core->term();
         const std::string away = follower(pump)->id;
         for (const auto &[id, replica] : pump.replicas) {
-            pump.network.cuts.insert({id, away});
-            pump.network.cuts.insert({away, id});
+            pump.network.blockedLinks.insert({id, away});
+            pump.network.blockedLinks.insert({away, id});
         }
-        // Without load its log is as good as any, so that only the living leader speaks against it.
-        pump.loaded = seed % 2 == 0;
+        // Without load its log is up to date, so only the contact of the others with the leader prevents the election.
+        pump.isLoaded = seed % 2 == 0;
         pump.runFor(3s);
-        pump.network.cuts.clear();
+        pump.network.blockedLinks.clear();
         pump.runFor(2s);
         REQUIRE(pump.leader()->id == leader);
         REQUIRE(pump.leader()->core->term() == term);
     }
 }
 
-// An operator asks a leader on the far side of a silent partition: it must neither confirm itself nor go on leading.
-TEST_CASE("a leader without its quorum steps down and confirms nothing", "[raft]")
+// Guards against a partitioned leader that confirms its leadership or stays leader.
+TEST_CASE("a leader without a quorum confirms nothing and steps down", "[raft]")
 {
     RaftPump pump(11, {"a", "b", "c"});
     REQUIRE(commitsMore(pump, 5));
     FakeReplica &old = *pump.leader();
     for (const auto &[id, replica] : pump.replicas) {
-        pump.network.cuts.insert({id, old.id});
+        pump.network.blockedLinks.insert({id, old.id});
     }
     pump.runFor(20ms);
     const std::uint64_t confirmed = pump.confirmed;
@@ -223,15 +224,16 @@
     REQUIRE_FALSE(old.core->isLeader());
 }
 
-// A planned stop of the leader: callers should wait for less than an election timeout.
-TEST_CASE("handing over takes less than an election timeout", "[raft]")
+// Guards against a long interruption at a planned stop of the leader: callers should wait less than an election
+// time-out.
+TEST_CASE("a leadership transfer takes less than an election time-out", "[raft]")
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         INFO("seed " << seed);
         RaftPump pump(seed, {"a", "b", "c"});
         REQUIRE(commitsMore(pump, 5));
         const std::string old = pump.leader()->id;
-        pump.askLeader([](raft::RaftCore &core, raft::RequestId) {
+        pump.callLeader([](raft::RaftCore &core, raft::RequestId) {
             core.transferLeadership();
         });
         REQUIRE(pump.runUntil(
@@ -239,12 +241,13 @@
                 return pump.leader() != nullptr && pump.leader()->id != old;
             },
             100ms));
-        REQUIRE(pump.handOversEnded == 1);
+        REQUIRE(pump.transfersEnded == 1);
         REQUIRE(pump.checks.violations.empty());
     }
 }
 
-// A snapshot is changed on its way (memory of a VM, not the network): the replica would hold a state nobody had.
+// Guards against a snapshot corrupted during the transfer (in the memory of a VM, not by the network): the replica
+// would install a state that no replica had.
 TEST_CASE("a snapshot whose checksum differs is not installed", "[raft]")
 {
     raft::PersistentState empty;
--- a/tests/RaftScenario.cpp
+++ b/tests/RaftScenario.cpp
@@ -6,44 +6,44 @@
 
 namespace {
 
-void askChange(RaftPump &pump, const std::string &id, wire::ChangeMember::Change change)
+void requestChange(RaftPump &pump, const std::string &id, wire::ChangeMember::Change change)
 {
     wire::ChangeMember request;
     request.mutable_replica()->set_id(id);
     request.mutable_replica()->set_address(id);
     request.set_change(change);
     pump.changePending = true;
-    pump.askLeader([&request](raft::RaftCore &core, raft::RequestId name) {
-        core.changeMember(name, request);
+    pump.callLeader([&request](raft::RaftCore &core, raft::RequestId requestId) {
+        core.changeMember(requestId, request);
     });
 }
 
-bool isWanted(const wire::Membership &membership, const std::string &id, wire::ChangeMember::Change change)
+bool hasTakenEffect(const wire::Membership &membership, const std::string &id, wire::ChangeMember::Change change)
 {
     const auto &members = membership.replicas();
     const auto member = std::find_if(members.begin(), members.end(), [&id](const wire::Replica &one) {
         return one.id() == id;
     });
-    const bool there = member != members.end();
+    const bool isMember = member != members.end();
     switch (change) {
     case wire::ChangeMember::CHANGE_REMOVE:
-        return !there;
+        return !isMember;
     case wire::ChangeMember::CHANGE_PROMOTE:
-        return there && member->voter();
+        return isMember && member->voter();
     default:
-        return there;
+        return isMember;
     }
 }
 
-/** Cuts a replica from all others, for what it sends, receives, or both. */
-void cutOff(RaftPump &pump, const std::string &target, bool sends, bool receives)
+/** Partitions a replica from all others, for the messages that it sends, receives, or both. */
+void partition(RaftPump &pump, const std::string &target, bool sends, bool receives)
 {
     for (const auto &[id, replica] : pump.replicas) {
         if (sends) {
-            pump.network.cuts.insert({target, id});
+            pump.network.blockedLinks.insert({target, id});
         }
         if (receives) {
-            pump.network.cuts.insert({id, target});
+            pump.network.blockedLinks.insert({id, target});
         }
     }
 }
@@ -76,40 +76,40 @@
         {"lost disk", loseDisk},
         {"failing sync or full disk",
          [](RaftPump &pump, const std::string &target) {
-             pump.at(target).disk.mood = DiskMood::Fails;
+             pump.at(target).disk.mode = DiskMode::Fails;
          }},
         {"slow disk",
          [](RaftPump &pump, const std::string &target) {
-             pump.at(target).disk.mood = DiskMood::Slow;
+             pump.at(target).disk.mode = DiskMode::Slow;
          }},
         {"two-way cut",
          [](RaftPump &pump, const std::string &target) {
-             cutOff(pump, target, true, true);
+             partition(pump, target, true, true);
          }},
         {"one-way cut, can't send",
          [](RaftPump &pump, const std::string &target) {
-             cutOff(pump, target, true, false);
+             partition(pump, target, true, false);
          }},
         {"one-way cut, can't receive",
          [](RaftPump &pump, const std::string &target) {
-             cutOff(pump, target, false, true);
+             partition(pump, target, false, true);
          }},
         {"messages delayed and reordered",
          [](RaftPump &pump, const std::string &) {
-             pump.network.slowest = std::chrono::milliseconds(300);
+             pump.network.maxLatency = std::chrono::milliseconds(300);
          }},
         {"messages doubled",
          [](RaftPump &pump, const std::string &) {
-             pump.network.doubled = 50;
-             pump.network.slowest = std::chrono::milliseconds(20);
+             pump.network.duplicatePercent = 50;
+             pump.network.maxLatency = std::chrono::milliseconds(20);
          }},
         {"messages and answers lost",
          [](RaftPump &pump, const std::string &) {
-             pump.network.lost = 40;
+             pump.network.lossPercent = 40;
          }},
         {"clock drift",
          [](RaftPump &pump, const std::string &target) {
-             pump.at(target).drift = 1100;
+             pump.at(target).clockRatePermille = 1100;
          }},
     };
     return all;
@@ -119,7 +119,7 @@
 {
     pump.network = FakeNetwork();
     for (auto &[id, replica] : pump.replicas) {
-        replica.disk.mood = DiskMood::Works;
+        replica.disk.mode = DiskMode::Works;
         if (replica.core && replica.core->stopped()) {
             pump.kill(id, true);
         }
@@ -132,48 +132,48 @@
     }
 }
 
-bool changed(RaftPump &pump, const std::string &id, wire::ChangeMember::Change change)
+bool ensureChange(RaftPump &pump, const std::string &id, wire::ChangeMember::Change change)
 {
-    const FakeReplica *leading = pump.leader();
-    if (leading == nullptr) {
+    const FakeReplica *currentLeader = pump.leader();
+    if (currentLeader == nullptr) {
         return false;
     }
-    const bool wanted = isWanted(leading->core->membership(), id, change);
-    if (!wanted && !pump.changePending) {
-        askChange(pump, id, change);
+    const bool isDone = hasTakenEffect(currentLeader->core->membership(), id, change);
+    if (!isDone && !pump.changePending) {
+        requestChange(pump, id, change);
     }
-    return wanted && !pump.changePending;
+    return isDone && !pump.changePending;
 }
 
-bool converged(RaftPump &pump)
+bool hasConverged(RaftPump &pump)
 {
-    const FakeReplica *leading = pump.leader();
-    if (leading == nullptr || leading->appliedIndex != leading->core->log().lastIndex()) {
+    const FakeReplica *currentLeader = pump.leader();
+    if (currentLeader == nullptr || currentLeader->appliedIndex != currentLeader->core->log().lastIndex()) {
         return false;
     }
-    const auto &members = leading->core->membership().replicas();
-    return std::all_of(members.begin(), members.end(), [&pump, leading](const wire::Replica &member) {
+    const auto &members = currentLeader->core->membership().replicas();
+    return std::all_of(members.begin(), members.end(), [&pump, currentLeader](const wire::Replica &member) {
         const FakeReplica &replica = pump.at(member.id());
         const bool lost = replica.disk.durable.diskId != member.disk_id();
-        return lost || replica.state == leading->state;
+        return lost || replica.state == currentLeader->state;
     });
 }
 
-bool repaired(RaftPump &pump)
+bool repairMembership(RaftPump &pump)
 {
-    const FakeReplica *leading = pump.leader();
-    if (leading == nullptr) {
+    const FakeReplica *currentLeader = pump.leader();
+    if (currentLeader == nullptr) {
         return false;
     }
-    for (const wire::Replica &member : leading->core->membership().replicas()) {
+    for (const wire::Replica &member : currentLeader->core->membership().replicas()) {
         if (pump.at(member.id()).disk.durable.diskId != member.disk_id()) {
-            changed(pump, member.id(), wire::ChangeMember::CHANGE_REMOVE);
+            ensureChange(pump, member.id(), wire::ChangeMember::CHANGE_REMOVE);
             return false;
         }
     }
     for (const auto &[id, replica] : pump.replicas) {
-        if (!changed(pump, id, wire::ChangeMember::CHANGE_ADD)
-            || !changed(pump, id, wire::ChangeMember::CHANGE_PROMOTE)) {
+        if (!ensureChange(pump, id, wire::ChangeMember::CHANGE_ADD)
+            || !ensureChange(pump, id, wire::ChangeMember::CHANGE_PROMOTE)) {
             return false;
         }
     }
@@ -182,9 +182,9 @@
 
 FakeReplica *follower(RaftPump &pump)
 {
-    const FakeReplica *leading = pump.leader();
+    const FakeReplica *currentLeader = pump.leader();
     for (auto &[id, replica] : pump.replicas) {
-        if (replica.core && !replica.frozen && &replica != leading) {
+        if (replica.core && !replica.frozen && &replica != currentLeader) {
             return &replica;
         }
     }
--- a/tests/RaftScenario.h
+++ b/tests/RaftScenario.h
@@ -4,28 +4,31 @@
 
 namespace bergamotweir::tests {
 
-/** One kind of fault, and what it strikes. */
+/** One kind of fault. */
 struct Fault {
     const char *name;
-    void (*strike)(RaftPump &pump, const std::string &target);
+    void (*inject)(RaftPump &pump, const std::string &target);
 };
 
-/** @return every fault of the brief that a replica can meet */
+/** @return every kind of fault that a replica must tolerate */
 const std::vector<Fault> &faults();
 
-/** Ends every fault: starts what was killed, thaws, mends disks and network. A lost disk stays lost. */
+/** Ends all faults: restarts and thaws replicas, repairs disks and network. A lost disk stays lost. */
 void healAll(RaftPump &pump);
 
-/** Asks the leader for a membership change unless one is under way. @return true once it is committed */
-bool changed(RaftPump &pump, const std::string &id, wire::ChangeMember::Change change);
+/** Requests a membership change from the leader unless one is in progress. @return true once it is committed */
+bool ensureChange(RaftPump &pump, const std::string &id, wire::ChangeMember::Change change);
 
-/** @return true when every member that still has its disk holds all that the leader's log holds */
-bool converged(RaftPump &pump);
+/** @return true if the leader applied its whole log and every member that still has its disk has the same state */
+bool hasConverged(RaftPump &pump);
 
-/** Replaces one member whose disk was lost: removed, added again, promoted. @return true when there is none left */
-bool repaired(RaftPump &pump);
+/**
+ * Takes the next step of replacing the members whose disk was lost: remove, add again, promote.
+ * @return true once every replica is a voter with its current disk
+ */
+bool repairMembership(RaftPump &pump);
 
-/** @return the first running replica that doesn't lead; null when none */
+/** @return the first running replica that is not the leader; null if there is none */
 FakeReplica *follower(RaftPump &pump);
 
 } // namespace bergamotweir::tests
--- a/tests/StorageTest.cpp
+++ b/tests/StorageTest.cpp
@@ -43,7 +43,7 @@
 
 using Batches = std::vector<std::vector<raft::DiskOperation>>;
 
-/** Opens a folder, writes batches one after the other and closes it. @return what failed */
+/** Opens a folder, writes the batches one after the other and closes it. @return the findings of a failed write */
 Findings write(const std::filesystem::path &folder,
                const Batches &batches,
                disk::FileOperations files = disk::systemFileOperations())
@@ -51,21 +51,21 @@
     auto storage = std::move(disk::Storage::open(folder, "a", std::move(files)).value());
     Findings failed;
     std::promise<void> ended;
-    std::promise<raft::Ticket> *waiting = nullptr;
+    std::promise<raft::Ticket> *pendingSync = nullptr;
     std::promise<raft::Ticket> synced;
     storage->start({.synced =
                         [&](raft::Ticket ticket) {
-                            waiting->set_value(ticket);
+                            pendingSync->set_value(ticket);
                         },
                     .failed =
                         [&](const Findings &findings) {
                             failed = findings;
-                            waiting->set_value(0);
+                            pendingSync->set_value(0);
                         }});
     raft::Ticket ticket = 0;
     for (const std::vector<raft::DiskOperation> &operations : batches) {
         synced = {};
-        waiting = &synced;
+        pendingSync = &synced;
         storage->submit({++ticket, operations});
         if (synced.get_future().get() == 0) {
             break;
@@ -84,7 +84,7 @@
     return found;
 }
 
-std::string whyNot(const std::filesystem::path &folder, const std::string &replica = "a")
+std::string openError(const std::filesystem::path &folder, const std::string &replica = "a")
 {
     const auto opened = disk::Storage::open(folder, replica);
     return opened ? std::string() : toText(opened.error());
@@ -113,7 +113,7 @@
 
 } // namespace
 
-TEST_CASE("a data folder keeps vote, entries, cuts and snapshots", "[disk]")
+TEST_CASE("a data folder keeps vote, entries, truncations and snapshots", "[disk]")
 {
     TemporaryFolder folder;
     REQUIRE(write(folder.path, {{raft::SaveVote{1, "b/disk b"}, entries(1, 4)}, {raft::TruncateFrom{3}, entries(3, 3)}})
@@ -132,9 +132,9 @@
     REQUIRE(state.diskId.size() == 32);
 }
 
-// A VM loses power while a batch is written: whatever part of it reached the disk, the replica starts again with all
-// that had been synced before.
-TEST_CASE("a torn tail is cut at whatever byte the write ended", "[disk]")
+// Guards against a VM that loses power while it writes a batch: whatever part of the batch reached the disk, the
+// replica must start with everything that had been synced before.
+TEST_CASE("a torn tail is truncated, whichever byte the write ended at", "[disk]")
 {
     TemporaryFolder whole;
     REQUIRE(write(whole.path, {ThreeBatches[0], ThreeBatches[1]}).empty());
@@ -153,8 +153,8 @@
     }
 }
 
-// The same, but the pages of the batch reach the disk out of order: its end is there, its beginning isn't.
-TEST_CASE("a batch whose later part alone reached the disk is cut", "[disk]")
+// Guards against pages of a batch that reach the disk out of order: its end was written, its beginning was not.
+TEST_CASE("a batch of which only the later part reached the disk is truncated", "[disk]")
 {
     TemporaryFolder folder;
     REQUIRE(write(folder.path, {ThreeBatches[0]}).empty());
@@ -165,8 +165,9 @@
     REQUIRE(std::filesystem::file_size(lastSegment(folder.path)) == synced);
 }
 
-// A bit rots in entries that were acknowledged. Cutting there would forget them; the replica says where and stops.
-TEST_CASE("a corrupt middle is an error with file and offset, at every byte of it", "[disk]")
+// Guards against bit rot in acknowledged entries: truncating there would lose them, so the replica must report the
+// position and stop.
+TEST_CASE("corruption at any byte of a synced batch is an error with file and offset", "[disk]")
 {
     TemporaryFolder folder;
     REQUIRE(write(folder.path, {ThreeBatches[0]}).empty());
@@ -175,7 +176,7 @@
     for (std::uint64_t offset = 0; offset < first; ++offset) {
         INFO("byte " << offset << " of " << first);
         flipByte(lastSegment(folder.path), offset);
-        const std::string why = whyNot(folder.path);
+        const std::string why = openError(folder.path);
         REQUIRE(why.find(lastSegment(folder.path).string() + ", offset ") != std::string::npos);
         REQUIRE(why.find("corrupt") != std::string::npos);
         flipByte(lastSegment(folder.path), offset);
@@ -183,8 +184,8 @@
     REQUIRE(read(folder.path).size() == 6);
 }
 
-// A disk fills up or stops syncing: nothing of the batch may be called durable, and nothing after it.
-TEST_CASE("a full disk or a failing sync is told with its file, and nothing is called durable", "[disk]")
+// Guards against a full disk or a failing sync: neither the batch nor any later one may be reported as durable.
+TEST_CASE("a full disk or a failing sync is reported with its file, and nothing is reported as durable", "[disk]")
 {
     for (const bool full : {true, false}) {
         TemporaryFolder folder;
@@ -209,8 +210,8 @@
     }
 }
 
-// The same for each other kind of change: a vote, a cut, a snapshot.
-TEST_CASE("a failing sync of a vote, a cut or a snapshot is told", "[disk]")
+// Guards against a failing sync of the other kinds of change: vote, truncation and snapshot.
+TEST_CASE("a failing sync of a vote, a truncation or a snapshot is reported", "[disk]")
 {
     const std::vector<raft::DiskOperation> changes{
         raft::SaveVote{2, "b/disk b"}, raft::TruncateFrom{2}, raft::SaveSnapshot{snapshotAt(2), false}};
@@ -226,8 +227,8 @@
     }
 }
 
-// A new leader replaces entries that reach back over several files, and a file in the middle is lost.
-TEST_CASE("a cut reaches over segments, and a missing segment is an error", "[disk]")
+// Guards against a truncation that spans several segments, and against the loss of a segment in the middle.
+TEST_CASE("a truncation can span segments, and a missing segment is an error", "[disk]")
 {
     TemporaryFolder folder;
     const raft::SaveSnapshot newSegment{snapshotAt(1), false};
@@ -237,12 +238,12 @@
     TemporaryFolder lossy;
     std::filesystem::copy(folder.path, lossy.path, std::filesystem::copy_options::recursive);
     std::filesystem::remove(lossy.path / middle.filename());
-    REQUIRE(whyNot(lossy.path).find("not contiguous") != std::string::npos);
+    REQUIRE(openError(lossy.path).find("not contiguous") != std::string::npos);
     REQUIRE(write(folder.path, {{raft::TruncateFrom{3}, entries(3, 4, 2)}}).empty());
     REQUIRE(read(folder.path) == std::vector<std::string>{"1/2", "2/3", "2/4"});
 }
 
-// A replica installs a snapshot and dies before the log that the snapshot replaces is gone.
+// Guards against a crash after a snapshot was installed and before the log that it replaces was removed.
 TEST_CASE("a log that an installed snapshot replaced is dropped at the next start", "[disk]")
 {
     TemporaryFolder folder;
@@ -255,21 +256,21 @@
     REQUIRE(read(folder.path) == std::vector<std::string>{"1/21", "1/22"});
 }
 
-// An operator starts a replica on another one's folder, twice on the same one, or on one whose files were lost.
-TEST_CASE("a folder of another replica, in use, or with files missing is refused", "[disk]")
+// Guards against a replica that is started on the folder of another one, on a folder in use, or on one that lost files.
+TEST_CASE("a folder that belongs to another replica, is in use or misses files is refused", "[disk]")
 {
     TemporaryFolder folder;
     REQUIRE(write(folder.path, ThreeBatches).empty());
-    REQUIRE(whyNot(folder.path, "b").find("belongs to replica a") != std::string::npos);
+    REQUIRE(openError(folder.path, "b").find("belongs to replica a") != std::string::npos);
     {
         const auto held = disk::Storage::open(folder.path, "a");
         REQUIRE(held.has_value());
-        REQUIRE(whyNot(folder.path).find("another process") != std::string::npos);
+        REQUIRE(openError(folder.path).find("another process") != std::string::npos);
     }
     flipByte(folder.path / "meta", 12);
-    REQUIRE(whyNot(folder.path).find("corrupt") != std::string::npos);
+    REQUIRE(openError(folder.path).find("corrupt") != std::string::npos);
     std::filesystem::remove(folder.path / "meta");
-    REQUIRE(whyNot(folder.path).find("without its meta file") != std::string::npos);
+    REQUIRE(openError(folder.path).find("without its meta file") != std::string::npos);
 }
 
 TEST_CASE("segments that a snapshot covers are removed", "[disk]")
