--- a/tests/MembershipPlanTest.cpp
+++ b/tests/MembershipPlanTest.cpp
@@ -120,7 +120,7 @@
     REQUIRE_FALSE(raft::nextChange(facts));
 }
 
-TEST_CASE("group: an unresponsive or replaced learner is removed before it blocks other changes")
+TEST_CASE("group: a silent or replaced learner is removed before it blocks other changes")
 {
     raft::MembershipFacts facts = groupOf(5);
     *facts.members.add_replicas() = replica("n1", "vm1", false);
--- a/tests/RaftRepairTest.cpp
+++ b/tests/RaftRepairTest.cpp
@@ -226,7 +226,7 @@
 
 // Guards against a long interruption at a planned stop of the leader: callers should wait less than an election
 // time-out.
-TEST_CASE("a leadership transfer takes less than an election time-out", "[raft]")
+TEST_CASE("a leadership transfer takes less than an election timeout", "[raft]")
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         INFO("seed " << seed);
