--- a/tests/MembershipPlanTest.cpp
+++ b/tests/MembershipPlanTest.cpp
@@ -71,7 +71,7 @@
         }
         applyChange(facts, *change);
     }
-    FAIL("the membership did not settle after 30 changes");
+    FAIL("the membership changes did not end after 30 steps");
     return 0;
 }
 
@@ -101,7 +101,7 @@
     }
 }
 
-TEST_CASE("group: a replica at a new address replaces an unresponsive one")
+TEST_CASE("group: a replica at a new address takes the place of an unresponsive one")
 {
     raft::MembershipFacts facts = groupOf(5);
     facts.unresponsive = {"r2"};
@@ -113,14 +113,14 @@
     }));
 }
 
-TEST_CASE("group: an unresponsive replica stays a member while there is no replacement")
+TEST_CASE("group: an unresponsive replica stays a member while nobody takes its place")
 {
     raft::MembershipFacts facts = groupOf(5);
     facts.unresponsive = {"r0", "r1"};
     REQUIRE_FALSE(raft::nextChange(facts));
 }
 
-TEST_CASE("group: a silent or replaced learner is removed before it blocks other changes")
+TEST_CASE("group: a silent or replaced learner is removed before it holds up other changes")
 {
     raft::MembershipFacts facts = groupOf(5);
     *facts.members.add_replicas() = replica("n1", "vm1", false);
--- a/tests/RaftChecks.cpp
+++ b/tests/RaftChecks.cpp
@@ -56,7 +56,7 @@
 {
     const auto known = this->committed.find(snapshot.lastIndex);
     const bool same = known != this->committed.end() && known->second.state == snapshot.data;
-    this->require(same, replica, "restored a state that no replica had at " + std::to_string(snapshot.lastIndex));
+    this->require(same, replica, "restored a state that nobody had at " + std::to_string(snapshot.lastIndex));
 }
 
 void RaftChecks::checkConfirmed(const FakeReplica &replica, std::uint64_t acknowledgedBefore)
@@ -76,7 +76,7 @@
     for (std::uint64_t below = 0; below < ComparedEntries && index > minIndex; ++below, --index) {
         const bool same = ownLog.at(index).term() == otherLog.at(index).term()
                           && ownLog.at(index).payload() == otherLog.at(index).payload();
-        this->require(same, one, "log differs from that of " + other.id + " below a matching index");
+        this->require(same, one, "log differs from that of " + other.id + " below a place of agreement");
     }
 }
 
@@ -101,7 +101,7 @@
         }
         const bool known = entry->second.appliedInTerm <= term;
         const bool held = log.termAt(entry->first) == entry->second.term;
-        this->require(!known || held, replica, "is leader without committed entry " + std::to_string(entry->first));
+        this->require(!known || held, replica, "leads without committed entry " + std::to_string(entry->first));
         if (!elected && known) {
             break;
         }
--- a/tests/RaftCoreTest.cpp
+++ b/tests/RaftCoreTest.cpp
@@ -189,7 +189,8 @@
 }
 
 // Guards against a working leader that is deposed because a single replica lost contact with it.
-TEST_CASE("a replica in contact with its leader accepts a higher term only in a leadership transfer", "[raft]")
+TEST_CASE("a replica in contact with its leader accepts a higher term from a candidate only in a leadership transfer",
+          "[raft]")
 {
     ManualReplica a;
     a.receive(a.append(1, 1, 1));
@@ -220,7 +221,7 @@
 
 // Guards against a committed entry that is lost in a crash: an entry is replaced while the disk is busy, and the sync
 // of the old entry is mistaken for the sync of the new one.
-TEST_CASE("the sync of a replaced entry does not count for its replacement", "[raft]")
+TEST_CASE("the sync of a replaced entry does not count for the one in its place", "[raft]")
 {
     ManualReplica a;
     wire::RaftMessage first = a.append(1, 1, 1);
--- a/tests/RaftFaultTest.cpp
+++ b/tests/RaftFaultTest.cpp
@@ -136,7 +136,7 @@
 // Guards against two leaders, lost acknowledged writes and a control group that stops after a single fault.
 // Each protocol is started, the fault hits the leader or a follower at one of its steps, and ends after a while.
 // RaftChecks.h lists the properties checked after every event.
-TEST_CASE("a single fault at any step of any protocol violates no property, and the group recovers", "[raft]")
+TEST_CASE("a single fault at any step of any protocol violates no property and is recovered from", "[raft]")
 {
     std::uint64_t seed = 1;
     for (const Protocol &protocol : protocols()) {
@@ -164,7 +164,7 @@
 
 // Guards against the same failures with two overlapping faults, such as a frozen replica while another loses its disk.
 // Both start at any step of a protocol. A group of three must tolerate one lost disk, a group of five two.
-TEST_CASE("any two overlapping faults violate no property, and the group recovers", "[raft]")
+TEST_CASE("any two overlapping faults violate no property and are recovered from", "[raft]")
 {
     for (std::uint64_t seed = 1; seed <= 1500; ++seed) {
         const unsigned size = seed % 3 == 0 ? 5 : 3;
--- a/tests/RaftRepairTest.cpp
+++ b/tests/RaftRepairTest.cpp
@@ -40,7 +40,7 @@
 // Guards against the loss of acknowledged entries when a second VM is lost right after the first was replaced: d must
 // not count as a voter before it holds the log.
 // Order: one follower is lost, d is added and promoted, the lost one is removed, then the leader is lost as well.
-TEST_CASE("the group survives the loss of a second VM right after a repair", "[raft]")
+TEST_CASE("a second VM can be lost right after a repair", "[raft]")
 {
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
         INFO("seed " << seed);
@@ -97,7 +97,7 @@
 
 // Guards against the same fault during the first election, when no disk ids are known yet: nothing is acknowledged
 // before the disk ids of all three replicas are recorded, so two empty disks cannot form a second group.
-TEST_CASE("the initial group needs all replicas, and replicas that lose their disks form no second group", "[raft]")
+TEST_CASE("the first group needs all replicas, and replicas whose disks are lost form no second one", "[raft]")
 {
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
         INFO("seed " << seed);
@@ -151,7 +151,7 @@
 }
 
 // Guards against two concurrent membership changes: with both in the log, two quorums might not overlap.
-TEST_CASE("a membership change is refused while another is in progress", "[raft]")
+TEST_CASE("a second membership change is refused while the first is in progress", "[raft]")
 {
     RaftPump pump(8, {"a", "b", "c", "e", "f"});
     REQUIRE(commitsMore(pump, 5));
--- a/tests/StorageTest.cpp
+++ b/tests/StorageTest.cpp
@@ -257,7 +257,7 @@
 }
 
 // Guards against a replica that is started on the folder of another one, on a folder in use, or on one that lost files.
-TEST_CASE("a folder that belongs to another replica, is in use or misses files is refused", "[disk]")
+TEST_CASE("a folder that belongs to another replica, is in use or has files missing is refused", "[disk]")
 {
     TemporaryFolder folder;
     REQUIRE(write(folder.path, ThreeBatches).empty());
