--- a/tests/MembershipPlanTest.cpp
+++ b/tests/MembershipPlanTest.cpp
@@ -71,7 +71,7 @@
         }
         applyChange(facts, *change);
     }
-    FAIL("the membership changes did not end after 30 steps");
+    FAIL("the membership changes of the group did not end after 30 steps");
     return 0;
 }
 
