--- a/src/control/OperatorReads.cpp
+++ b/src/control/OperatorReads.cpp
@@ -72,7 +72,7 @@
     wire::ServiceStatus status;
     status.set_service(service);
     status.set_slices(static_cast<std::uint32_t>(map.slices().size()));
-    status.set_slices_moving(static_cast<std::uint32_t>(coordinator.moves().begins(service).size()));
+    status.set_slices_moving(static_cast<std::uint32_t>(coordinator.moves().movingSlices(service).size()));
     const auto unowned = std::count_if(map.slices().begin(), map.slices().end(), [](const auto &slice) {
         return slice.second.owner == 0;
     });
