--- a/include/base/Backoff.h
+++ b/include/base/Backoff.h
@@ -6,26 +6,26 @@
 
 namespace bergamotweir {
 
-/** How pauses between tries grow. */
+/** Exponential backoff between tries. */
 struct BackoffSettings {
-    /** Longest pause after the first failure; doubles with each further one in a row. */
+    /** Maximum delay after the first failure; doubles with each further consecutive failure. */
     std::chrono::milliseconds first{25};
     std::chrono::milliseconds max{200};
 };
 
 /**
- * Doubles a time for each failure in a row.
- * @param failures so far; 0 gives the first time
- * @return the time, at most settings.most
+ * Computes the delay that doubles with each consecutive failure.
+ * @param failures so far; 0 gives settings.first
+ * @return the delay without jitter, at most settings.max
  */
 std::chrono::milliseconds exponentialDelay(const BackoffSettings &settings, unsigned failures);
 
 /**
- * Chooses the pause before the next try.
- * Guard against tries in step. It shows when many processes lose the same server at once: all come back together, and
- * together again after each refusal. Pauses are spread over the upper half of the grown time.
+ * Chooses the delay before the next try, with jitter over the upper half of the exponential delay.
+ * Without jitter, processes that lose the same server at the same moment would all reconnect together, and again
+ * together after each refusal.
  * @param failures so far, at least 1
- * @return the pause
+ * @return the delay
  */
 std::chrono::milliseconds nextBackoff(const BackoffSettings &settings, unsigned failures, pcg32 &random);
 
--- a/include/base/BootClock.h
+++ b/include/base/BootClock.h
@@ -6,9 +6,9 @@
 
 /**
  * Time since boot, counting the time a VM was suspended.
- * Leases are measured on it: a monotonic clock stands still while a VM is suspended, so a lease held across a
- * suspension would look valid after another replica has already been granted the keys.
- * The core takes time points as arguments; only the shell calls now().
+ * Leases are measured on it: a monotonic clock stops while a VM is suspended, so a lease held across a suspension would
+ * look valid after another replica has already been granted the keys.
+ * Decision logic takes time points as arguments; only the code that does input and output calls now().
  */
 struct BootClock {
     using duration = std::chrono::nanoseconds;
@@ -17,11 +17,11 @@
     using time_point = std::chrono::time_point<BootClock>;
     static constexpr bool is_steady = true;
 
-    /** @return the present time; source: CLOCK_BOOTTIME. Defined in the loop module. */
+    /** @return the current time, from CLOCK_BOOTTIME. Defined in the loop module. */
     static time_point now() noexcept;
 };
 
-/** A point on the boot clock. */
+/** A time point of the boot clock. */
 using BootTime = BootClock::time_point;
 
 } // namespace bergamotweir
--- a/include/base/Finding.h
+++ b/include/base/Finding.h
@@ -5,11 +5,11 @@
 
 namespace bergamotweir {
 
-/** One thing found wrong, with the place where it was found. */
+/** One error found in an input, with its place. */
 struct Finding {
     /** Flag, environment variable, table row and column, or file and offset. */
     std::string place;
-    /** What is wrong there. */
+    /** What is wrong at that place. */
     std::string message;
     /** What to write instead; empty when there is no single answer. */
     std::string remedy;
@@ -17,12 +17,11 @@
     bool operator==(const Finding &other) const = default;
 };
 
-/** All that one check found; empty means that the input is good. */
+/** All findings of one check; empty when the input is valid. */
 using Findings = std::vector<Finding>;
 
 /**
  * Renders findings for people, one line each.
- * @param findings what was found
  * @return "place: message; write remedy" lines, each ended by a newline
  */
 std::string toText(const Findings &findings);
--- a/include/base/Result.h
+++ b/include/base/Result.h
@@ -7,14 +7,14 @@
 namespace bergamotweir {
 
 /**
- * A value, or everything that was found wrong on the way to it.
- * Used wherever a caller can act on the failure; broken invariants are asserts.
+ * A value, or the findings that prevented it.
+ * Used wherever a caller can act on the failure; violated invariants are assertions.
  */
 template<typename T>
 using Result = BOOST_OUTCOME_V2_NAMESPACE::result<T, Findings, BOOST_OUTCOME_V2_NAMESPACE::policy::terminate>;
 
 /**
- * Makes the failure side of a Result from a single finding.
+ * Makes the error of a Result from a single finding.
  * @param place where it was found
  * @param message what is wrong
  * @param remedy what to write instead, may be empty
--- a/include/base/UnixTime.h
+++ b/include/base/UnixTime.h
@@ -5,7 +5,7 @@
 
 namespace bergamotweir {
 
-/** Wall-clock time, for what people and other processes read; never for leases or deadlines. */
+/** Wall-clock time, for values that people and other processes read; never for leases or deadlines. */
 using UnixTime = std::chrono::sys_time<std::chrono::milliseconds>;
 
 /** @param millis milliseconds since 1970, as messages carry them */
--- a/tests/Property.h
+++ b/tests/Property.h
@@ -9,9 +9,9 @@
 namespace bergamotweir::test {
 
 /**
- * Checks a property with a fixed seed and count, so that the same commit always gets the same verdict.
- * @param seed of the generator
- * @param runs how many cases are tried
+ * Checks a property with a fixed seed and number of cases, so that the result for a commit is reproducible.
+ * @param seed seed of the generator
+ * @param runs number of cases
  */
 template<typename Testable>
 void checkProperty(std::uint64_t seed, int runs, Testable &&property)
@@ -21,9 +21,9 @@
     parameters.maxSuccess = runs;
     const rc::detail::TestResult result =
         rc::detail::checkTestable(std::forward<Testable>(property), rc::detail::TestMetadata(), parameters);
-    std::ostringstream told;
-    rc::detail::printResultMessage(result, told);
-    INFO("seed " << seed << ", " << runs << " runs: " << told.str());
+    std::ostringstream message;
+    rc::detail::printResultMessage(result, message);
+    INFO("seed " << seed << ", " << runs << " runs: " << message.str());
     CHECK(result.template is<rc::detail::SuccessResult>());
 }
 
