--- a/include/report/BucketRing.h
+++ b/include/report/BucketRing.h
@@ -8,34 +8,35 @@
 
 namespace bergamotweir::report {
 
-/** Counts over a sliding window in constant memory: one bucket for each span of time, the oldest is used again. */
+/** Counts over a sliding window in constant memory: a ring with one bucket for each span of time. */
 class BucketRing
 {
 public:
     /**
-     * @param width span of one bucket
-     * @param buckets how many; the longest window is width * buckets
+     * @param width span of time of one bucket
+     * @param buckets number of buckets; the longest window is width * buckets
      */
     BucketRing(std::chrono::seconds width, std::size_t buckets);
 
-    /** Adds counts at a moment; moments never go back by more than the ring's length. */
+    /** Adds counts at a time point, which must not go back by more than the length of the ring. */
     void add(const Counts &counts, BootTime now);
 
-    /** @return what was added in the window that ends now, whole buckets and the present one; at most the ring's length
+    /** @return the counts added in the window that ends now: whole buckets and the current one, at most the ring's
+     * length
      */
     Counts sum(std::chrono::seconds window, BootTime now) const;
 
 private:
     struct Bucket {
-        /** Which span of time since boot it counts. */
-        std::int64_t number = -1;
+        /** Number of the span of time that it counts, since boot; -1 while unused. */
+        std::int64_t spanNumber = -1;
         std::uint32_t total = 0;
         std::uint32_t refused = 0;
         std::uint32_t failed = 0;
         std::uint32_t late = 0;
     };
 
-    std::int64_t numberAt(BootTime now) const;
+    std::int64_t spanNumberAt(BootTime now) const;
 
     std::chrono::seconds width;
     std::vector<Bucket> buckets;
--- a/include/report/BurnReport.h
+++ b/include/report/BurnReport.h
@@ -13,11 +13,11 @@
 
 namespace bergamotweir::report {
 
-/** The windows over which budgets are watched: a short and a long one for a fast burn, and for a slow burn. */
+/** Windows of the burn rates: a short and a long one for the fast burn alarm, and two for the slow burn alarm. */
 inline constexpr std::array<std::chrono::minutes, 4> Windows{
     std::chrono::minutes(5), std::chrono::minutes(60), std::chrono::minutes(30), std::chrono::minutes(360)};
 
-/** Places in Windows. */
+/** Indexes in Windows. */
 enum WindowIndex : std::size_t {
     FastShort,
     FastLong,
@@ -25,11 +25,14 @@
     SlowLong,
 };
 
-/** Burn rate in both windows from which a pair raises its alarm: the budget of 30 days would be gone in 2 or 5 days. */
-inline constexpr double FastBurn = 14.4;
-inline constexpr double SlowBurn = 6;
+/**
+ * Burn rate that raises an alarm when both windows of the pair reach it: the budget of 30 days would be used up in 2 or
+ * 5 days.
+ */
+inline constexpr double FastBurnRate = 14.4;
+inline constexpr double SlowBurnRate = 6;
 
-/** What one upstream burned. */
+/** The part of a service's error budget that one upstream burned. */
 struct BlameReport {
     std::string failureDomain;
     std::string upstream;
@@ -37,54 +40,54 @@
     Counts sixHours;
 };
 
-/** One service over all windows. */
+/** Counts and latency of one service over all windows. */
 struct ServiceReport {
     std::string service;
     table::ServicePolicy objectives;
     std::array<Counts, Windows.size()> windows{};
     Counts sinceStart;
-    /** Of several agents: the worst of each figure, but for count and mean. */
+    /** For several agents: the worst value of each field, except that counts are added and the mean is weighted. */
     LatencySummary latency;
-    /** Heaviest of the last six hours first. */
+    /** Sorted by the requests counted in the last six hours, most first. */
     std::vector<BlameReport> blames;
 };
 
-/** The burn report of an agent, or of many. */
+/** The burn report of one agent, or the merged report of several. */
 struct BurnReport {
     unsigned agents = 1;
-    /** Shortest time that an agent has been counting. */
+    /** Time since the start of the agent that has counted for the shortest time. */
     std::chrono::seconds counting{0};
     std::vector<ServiceReport> services;
-    /** Agents that could not be asked; the report lacks their requests. */
+    /** Agents that could not be reached; the report doesn't contain their requests. */
     std::vector<std::string> unreachable;
 };
 
-/** An objective, to compute with. */
+/** Burn rates and remaining error budget of one objective. */
 struct Burn {
-    /** 1 burns exactly the budget; 0 without requests. */
+    /** Burn rate of each window: 1 uses up exactly the budget; 0 without requests. */
     std::array<double, Windows.size()> rates{};
-    /** Part of the budget of the last six hours that is left; negative when overdrawn. */
+    /** Fraction of the budget of the last six hours that remains; negative when exceeded. */
     double budgetLeft = 1;
     bool fastAlarm = false;
     bool slowAlarm = false;
 };
 
-/** @return how the availability objective fares: refused and failed requests burn it */
+/** @return the burn of the availability objective, by refused and failed requests */
 Burn availabilityBurn(const ServiceReport &service);
 
-/** @return how the latency objective fares: late answers burn it */
+/** @return the burn of the latency objective, by late answers */
 Burn latencyBurn(const ServiceReport &service);
 
-/** Adds another agent's report. */
+/** Merges the report of another agent, or of several, into a report. */
 void merge(BurnReport &into, const BurnReport &from);
 
-/** @return the report for people */
+/** @return the report as text for people */
 std::string toText(const BurnReport &report);
 
-/** @return the report for programs, read by fromJson() */
+/** @return the report as JSON, read by fromJson() */
 std::string toJson(const BurnReport &report);
 
-/** @return the report, or what is wrong with the text */
+/** @return the report, or a finding when the text is malformed */
 Result<BurnReport> fromJson(std::string_view json);
 
 } // namespace bergamotweir::report
--- a/include/report/BurnState.h
+++ b/include/report/BurnState.h
@@ -20,29 +20,30 @@
 
 struct BurnReport;
 
-/** How a request ended, as its caller saw it. */
+/** Outcome of a request as its caller saw it. */
 enum class Outcome {
-    /** The whole answer of an upstream that is no server error. */
+    /** The whole answer of an upstream was sent, and it was no server error. */
     Answered,
-    /** The system refused it; a planned drain that the caller doesn't notice refuses nothing. */
+    /** The system refused it. A planned drain that the caller doesn't notice counts no refusal. */
     Refused,
     /** The upstream failed or answered with a server error, or the deadline passed. */
     Failed,
-    /** Malformed, unknown service, or the caller went away: burns nothing and isn't counted. */
+    /** Malformed, unknown service, or the caller disconnected: burns no budget and isn't counted. */
     CallerFault,
 };
 
-/** The end of one request at the agent that took it from its caller; agents that were forwarded to record nothing. */
+/** A request completed by the agent that received it from its caller; an agent that it was forwarded to records none.
+ */
 struct CompletedRequest {
     std::string_view service;
-    /** Empty when it reached none. */
+    /** Empty when the request reached no upstream. */
     std::string_view upstream;
     std::string_view failureDomain;
     Outcome outcome = Outcome::Answered;
     std::chrono::nanoseconds latency{0};
 };
 
-/** What burned the budget at one upstream: only what went wrong is kept. */
+/** Requests at one upstream that burned the budget; requests without a fault are not counted. */
 struct Blame {
     Blame();
 
@@ -50,39 +51,39 @@
     BucketRing sixHours;
 };
 
-/** What is kept of one service. */
+/** Counts of one service. */
 struct ServiceBurn {
     ServiceBurn();
 
     table::ServicePolicy objectives;
-    /** Six hours. */
+    /** Covers six hours. */
     BucketRing counts;
     Counts sinceStart;
     LatencyStatistics latency;
-    /** By failure domain and upstream; at most MaxBlamed, the rest is laid to OtherUpstreams. */
+    /** By failure domain and upstream; at most MaxBlamed, further upstreams are counted under OtherUpstreams. */
     std::map<std::pair<std::string, std::string>, Blame> blames;
 };
 
-/** Upstreams for which each service keeps what they burned. */
+/** Maximum number of upstreams that are counted one by one for each service. */
 inline constexpr std::size_t MaxBlamed = 512;
 inline constexpr const char *OtherUpstreams = "(others)";
-/** Where a request that reached no upstream is laid. */
+/** Counts requests that reached no upstream. */
 inline constexpr const char *NoUpstream = "(none)";
 
 /**
- * Counts of one agent for the burn report: constant memory for each service and upstream, none for each key.
- * Starts empty with the process: counts do not survive a restart, and the report says since when they count.
+ * Counts of one agent for the burn report: constant memory for each service and upstream, no memory for each key.
+ * Counts do not survive a restart of the process; the report says for how long the agent has been counting.
  */
 struct BurnState {
     BootTime start{};
     std::map<std::string, ServiceBurn, std::less<>> services;
 };
 
-/** Takes the objectives from a table; services that it doesn't name are dropped, new ones start empty. */
+/** Sets the objectives from a table. Services that it doesn't name are removed, new ones start with empty counts. */
 void setObjectives(BurnState &state, const table::Table &table);
 
-/** Counts the end of a request; one of a service without objectives isn't counted. */
-void record(BurnState &state, const CompletedRequest &end, BootTime now);
+/** Counts a completed request; a request of a service without objectives isn't counted. */
+void record(BurnState &state, const CompletedRequest &request, BootTime now);
 
 /** @return the report of this agent alone */
 BurnReport makeReport(const BurnState &state, BootTime now);
--- a/include/report/Counts.h
+++ b/include/report/Counts.h
@@ -4,15 +4,15 @@
 
 namespace bergamotweir::report {
 
-/** Requests of callers by how they ended. */
+/** Numbers of requests of callers, by outcome. */
 struct Counts {
-    /** All that count towards the objectives. */
+    /** All requests that count towards the objectives. */
     std::uint64_t total = 0;
-    /** The system refused it: no owner, no room, over a limit, quarantined. */
+    /** Refused by the system: no owner, overloaded, over a limit, quarantined. */
     std::uint64_t refused = 0;
-    /** It failed: upstream failed, deadline passed. */
+    /** Failed: the upstream failed, or the deadline passed. */
     std::uint64_t failed = 0;
-    /** Answered, but later than the latency objective. */
+    /** Answered, but later than the latency objective allows. */
     std::uint64_t late = 0;
 
     bool operator==(const Counts &other) const = default;
--- a/include/report/LatencyStatistics.h
+++ b/include/report/LatencyStatistics.h
@@ -8,7 +8,7 @@
 
 namespace bergamotweir::report {
 
-/** Latency of the answers of one service; estimates, see LatencyStatistics. */
+/** Latency of the answers of one service; the quantiles are estimates, see LatencyStatistics. */
 struct LatencySummary {
     std::uint64_t count = 0;
     std::chrono::nanoseconds mean{0};
@@ -20,7 +20,8 @@
 
 /**
  * Quantiles of latency over the last few minutes, by Boost.Accumulators' P-square estimator: constant memory, no
- * samples are kept. It can't forget, hence one accumulator is filled for each period and the last whole one is told.
+ * samples are kept. The estimator can't remove old samples, so each period fills an accumulator of its own and the last
+ * complete one is reported.
  */
 class LatencyStatistics
 {
@@ -34,17 +35,18 @@
 
     void add(std::chrono::nanoseconds latency, BootTime now);
 
-    /** @return the last whole period, or the present one while there is none */
+    /** @return the last complete period, or the current one while there is none */
     LatencySummary summary(BootTime now) const;
 
 private:
     struct Accumulator;
 
-    void turn(BootTime now);
+    /** Starts a new period when the current one has ended. */
+    void rotate(BootTime now);
 
-    std::unique_ptr<Accumulator> present;
-    std::unique_ptr<Accumulator> last;
-    BootTime presentStart{};
+    std::unique_ptr<Accumulator> current;
+    std::unique_ptr<Accumulator> previous;
+    BootTime currentStart{};
 };
 
 } // namespace bergamotweir::report
--- a/include/report/Metric.h
+++ b/include/report/Metric.h
@@ -8,19 +8,19 @@
 
 struct BurnReport;
 
-/** How a metric behaves, for Prometheus. */
+/** Type of a metric in the Prometheus text format. */
 enum class MetricType {
     Counter,
     Gauge,
 };
 
-/** One value of a metric. */
+/** One value of a metric with its labels. */
 struct Sample {
     std::vector<std::pair<std::string, std::string>> labels;
     double value = 0;
 };
 
-/** One metric with all its values. */
+/** A metric with all its samples. */
 struct Metric {
     std::string name;
     std::string help;
@@ -31,7 +31,7 @@
 /** @return the metrics in the Prometheus text format, version 0.0.4 */
 std::string toPrometheus(const std::vector<Metric> &metrics);
 
-/** @return requests, latency, burn rates and budgets of an agent's own report */
+/** @return metrics of requests, latency, burn rates and budgets, from an agent's own report */
 std::vector<Metric> burnMetrics(const BurnReport &report);
 
 } // namespace bergamotweir::report
--- a/src/report/BucketRing.cpp
+++ b/src/report/BucketRing.cpp
@@ -12,17 +12,17 @@
     assert(width.count() > 0 && buckets > 0);
 }
 
-std::int64_t BucketRing::numberAt(BootTime now) const
+std::int64_t BucketRing::spanNumberAt(BootTime now) const
 {
     return now.time_since_epoch() / this->width;
 }
 
 void BucketRing::add(const Counts &counts, BootTime now)
 {
-    const std::int64_t number = this->numberAt(now);
-    Bucket &bucket = this->buckets[static_cast<std::size_t>(number) % this->buckets.size()];
-    if (bucket.number != number) {
-        bucket = Bucket{.number = number};
+    const std::int64_t spanNumber = this->spanNumberAt(now);
+    Bucket &bucket = this->buckets[static_cast<std::size_t>(spanNumber) % this->buckets.size()];
+    if (bucket.spanNumber != spanNumber) {
+        bucket = Bucket{.spanNumber = spanNumber};
     }
     bucket.total += static_cast<std::uint32_t>(counts.total);
     bucket.refused += static_cast<std::uint32_t>(counts.refused);
@@ -32,12 +32,12 @@
 
 Counts BucketRing::sum(std::chrono::seconds window, BootTime now) const
 {
-    const std::int64_t last = this->numberAt(now);
-    const auto most = static_cast<std::int64_t>(this->buckets.size());
-    const std::int64_t first = last - std::min<std::int64_t>(window / this->width, most) + 1;
+    const std::int64_t last = this->spanNumberAt(now);
+    const auto maxSpans = static_cast<std::int64_t>(this->buckets.size());
+    const std::int64_t first = last - std::min<std::int64_t>(window / this->width, maxSpans) + 1;
     Counts counts;
     for (const Bucket &bucket : this->buckets) {
-        if (bucket.number >= first && bucket.number <= last) {
+        if (bucket.spanNumber >= first && bucket.spanNumber <= last) {
             counts += {bucket.total, bucket.refused, bucket.failed, bucket.late};
         }
     }
--- a/src/report/BurnJson.cpp
+++ b/src/report/BurnJson.cpp
@@ -10,8 +10,8 @@
 
 constexpr std::array<const char *, Windows.size()> WindowNames{"5m", "1h", "30m", "6h"};
 
-/** Refuses fractions and negative numbers, which a plain conversion would turn into some other number. */
-std::uint64_t wholeNumber(const Json &json, const char *name)
+/** Reads an unsigned integer; rejects fractions and negative numbers, which a plain conversion would alter. */
+std::uint64_t readUnsigned(const Json &json, const char *name)
 {
     return json.at(name).get_ref<const Json::number_unsigned_t &>();
 }
@@ -23,10 +23,10 @@
 
 Counts toCounts(const Json &json)
 {
-    return {.total = wholeNumber(json, "total"),
-            .refused = wholeNumber(json, "refused"),
-            .failed = wholeNumber(json, "failed"),
-            .late = wholeNumber(json, "late")};
+    return {.total = readUnsigned(json, "total"),
+            .refused = readUnsigned(json, "refused"),
+            .failed = readUnsigned(json, "failed"),
+            .late = readUnsigned(json, "late")};
 }
 
 Json toJson(const Burn &burn)
@@ -53,15 +53,15 @@
 
 LatencySummary toLatency(const Json &json)
 {
-    const auto time = [&](const char *name) {
-        return std::chrono::nanoseconds(wholeNumber(json, name));
+    const auto readTime = [&](const char *name) {
+        return std::chrono::nanoseconds(readUnsigned(json, name));
     };
-    return {.count = wholeNumber(json, "count"),
-            .mean = time("mean_ns"),
-            .p50 = time("p50_ns"),
-            .p99 = time("p99_ns"),
-            .p999 = time("p999_ns"),
-            .maximum = time("max_ns")};
+    return {.count = readUnsigned(json, "count"),
+            .mean = readTime("mean_ns"),
+            .p50 = readTime("p50_ns"),
+            .p99 = readTime("p99_ns"),
+            .p999 = readTime("p999_ns"),
+            .maximum = readTime("max_ns")};
 }
 
 Json toJson(const ServiceReport &service)
@@ -94,7 +94,7 @@
     ServiceReport service;
     service.service = json.at("service").get<std::string>();
     service.objectives.sloAvailability = json.at("slo_availability").get<double>();
-    service.objectives.sloLatency = std::chrono::milliseconds(wholeNumber(json, "slo_latency_ms"));
+    service.objectives.sloLatency = std::chrono::milliseconds(readUnsigned(json, "slo_latency_ms"));
     service.objectives.sloPercentile = json.at("slo_percentile").get<double>();
     for (std::size_t i = 0; i < Windows.size(); ++i) {
         service.windows[i] = toCounts(json.at("windows").at(WindowNames[i]));
@@ -122,18 +122,18 @@
                     {"counting_s", report.counting.count()},
                     {"services", services},
                     {"unreachable", report.unreachable}};
-    // Names come from upstreams and may hold any bytes; they must not end the program.
+    // Names come from upstreams and may hold any bytes. Invalid UTF-8 is replaced, as dump() would throw on it.
     return json.dump(2, ' ', false, Json::error_handler_t::replace) + "\n";
 }
 
 Result<BurnReport> fromJson(std::string_view text)
 {
-    // The library tells errors by exceptions; they end here.
+    // The JSON library reports errors by exceptions; they don't leave this function.
     try {
         const Json json = Json::parse(text);
         BurnReport report;
-        report.agents = static_cast<unsigned>(wholeNumber(json, "agents"));
-        report.counting = std::chrono::seconds(wholeNumber(json, "counting_s"));
+        report.agents = static_cast<unsigned>(readUnsigned(json, "agents"));
+        report.counting = std::chrono::seconds(readUnsigned(json, "counting_s"));
         report.unreachable = json.at("unreachable").get<std::vector<std::string>>();
         for (const Json &service : json.at("services")) {
             report.services.push_back(toService(service));
--- a/src/report/BurnReport.cpp
+++ b/src/report/BurnReport.cpp
@@ -8,44 +8,45 @@
 
 namespace {
 
-constexpr std::size_t MostBlamesShown = 5;
+constexpr std::size_t MaxBlamesShown = 5;
 
-Burn toBurn(const std::array<double, Windows.size()> &badShares, double objectivePercent)
+Burn toBurn(const std::array<double, Windows.size()> &badFractions, double objectivePercent)
 {
-    const double allowed = (100 - objectivePercent) / 100;
+    const double budget = (100 - objectivePercent) / 100;
     Burn burn;
     for (std::size_t i = 0; i < Windows.size(); ++i) {
-        burn.rates[i] = badShares[i] / allowed;
+        burn.rates[i] = badFractions[i] / budget;
     }
     burn.budgetLeft = 1 - burn.rates[SlowLong];
-    burn.fastAlarm = burn.rates[FastShort] >= FastBurn && burn.rates[FastLong] >= FastBurn;
-    burn.slowAlarm = burn.rates[SlowShort] >= SlowBurn && burn.rates[SlowLong] >= SlowBurn;
+    burn.fastAlarm = burn.rates[FastShort] >= FastBurnRate && burn.rates[FastLong] >= FastBurnRate;
+    burn.slowAlarm = burn.rates[SlowShort] >= SlowBurnRate && burn.rates[SlowLong] >= SlowBurnRate;
     return burn;
 }
 
-double share(std::uint64_t part, std::uint64_t whole)
+double fraction(std::uint64_t part, std::uint64_t whole)
 {
     return whole == 0 ? 0 : static_cast<double>(part) / static_cast<double>(whole);
 }
 
-std::string number(const char *format, double value)
+std::string formatNumber(const char *format, double value)
 {
     std::array<char, 40> text{};
     const int length = std::snprintf(text.data(), text.size(), format, value);
     return {text.data(), static_cast<std::size_t>(std::clamp(length, 0, static_cast<int>(text.size()) - 1))};
 }
 
-std::string milliseconds(std::chrono::nanoseconds time)
+std::string formatMilliseconds(std::chrono::nanoseconds time)
 {
-    return number("%.2f ms", std::chrono::duration<double, std::milli>(time).count());
+    return formatNumber("%.2f ms", std::chrono::duration<double, std::milli>(time).count());
 }
 
-std::string burnText(const char *objective, const Burn &burn)
+std::string formatBurn(const char *objective, const Burn &burn)
 {
-    std::string text = "  " + std::string(objective) + ": budget left " + number("%.1f %%", 100 * burn.budgetLeft)
-                       + ", burn rate 5m " + number("%.1f", burn.rates[FastShort]) + " 1h "
-                       + number("%.1f", burn.rates[FastLong]) + ", 30m " + number("%.1f", burn.rates[SlowShort])
-                       + " 6h " + number("%.1f", burn.rates[SlowLong]);
+    std::string text = "  " + std::string(objective) + ": budget left " + formatNumber("%.1f %%", 100 * burn.budgetLeft)
+                       + ", burn rate 5m " + formatNumber("%.1f", burn.rates[FastShort]) + " 1h "
+                       + formatNumber("%.1f", burn.rates[FastLong]) + ", 30m "
+                       + formatNumber("%.1f", burn.rates[SlowShort]) + " 6h "
+                       + formatNumber("%.1f", burn.rates[SlowLong]);
     if (burn.fastAlarm) {
         text += "  ALARM fast burn";
     }
@@ -55,30 +56,30 @@
     return text + "\n";
 }
 
-std::string countsText(const Counts &counts)
+std::string formatCounts(const Counts &counts)
 {
     return std::to_string(counts.refused) + " refused, " + std::to_string(counts.failed) + " failed, "
            + std::to_string(counts.late) + " late";
 }
 
-std::string serviceText(const ServiceReport &service)
+std::string formatService(const ServiceReport &service)
 {
     const Counts &all = service.windows[SlowLong];
-    std::string text = service.service + ": objective " + number("%g", service.objectives.sloAvailability)
-                       + " % answered, " + number("%g", service.objectives.sloPercentile) + " % within "
+    std::string text = service.service + ": objective " + formatNumber("%g", service.objectives.sloAvailability)
+                       + " % answered, " + formatNumber("%g", service.objectives.sloPercentile) + " % within "
                        + std::to_string(service.objectives.sloLatency.count())
-                       + " ms\n  last 6 h: " + std::to_string(all.total) + " requests, " + countsText(all) + "\n"
-                       + burnText("availability", availabilityBurn(service))
-                       + burnText("latency", latencyBurn(service));
+                       + " ms\n  last 6 h: " + std::to_string(all.total) + " requests, " + formatCounts(all) + "\n"
+                       + formatBurn("availability", availabilityBurn(service))
+                       + formatBurn("latency", latencyBurn(service));
     if (service.latency.count > 0) {
-        text += "  answers of the last minutes: p50 " + milliseconds(service.latency.p50) + ", p99 "
-                + milliseconds(service.latency.p99) + ", p99.9 " + milliseconds(service.latency.p999) + ", longest "
-                + milliseconds(service.latency.maximum) + "\n";
+        text += "  answers of the last minutes: p50 " + formatMilliseconds(service.latency.p50) + ", p99 "
+                + formatMilliseconds(service.latency.p99) + ", p99.9 " + formatMilliseconds(service.latency.p999)
+                + ", longest " + formatMilliseconds(service.latency.maximum) + "\n";
     }
-    for (std::size_t i = 0; i < std::min(service.blames.size(), MostBlamesShown); ++i) {
+    for (std::size_t i = 0; i < std::min(service.blames.size(), MaxBlamesShown); ++i) {
         const BlameReport &blame = service.blames[i];
-        text += "  burned by " + blame.failureDomain + " " + blame.upstream + ": " + countsText(blame.sixHours)
-                + " (1 h: " + countsText(blame.hour) + ")\n";
+        text += "  burned by " + blame.failureDomain + " " + blame.upstream + ": " + formatCounts(blame.sixHours)
+                + " (1 h: " + formatCounts(blame.hour) + ")\n";
     }
     return text;
 }
@@ -101,14 +102,14 @@
 void mergeBlames(std::vector<BlameReport> &into, const std::vector<BlameReport> &from)
 {
     for (const BlameReport &blame : from) {
-        const auto same = std::ranges::find_if(into, [&](const BlameReport &other) {
+        const auto existing = std::ranges::find_if(into, [&](const BlameReport &other) {
             return other.failureDomain == blame.failureDomain && other.upstream == blame.upstream;
         });
-        if (same == into.end()) {
+        if (existing == into.end()) {
             into.push_back(blame);
         } else {
-            same->hour += blame.hour;
-            same->sixHours += blame.sixHours;
+            existing->hour += blame.hour;
+            existing->sixHours += blame.sixHours;
         }
     }
     std::ranges::stable_sort(into, std::ranges::greater(), [](const BlameReport &blame) {
@@ -130,22 +131,22 @@
 
 Burn availabilityBurn(const ServiceReport &service)
 {
-    std::array<double, Windows.size()> shares{};
+    std::array<double, Windows.size()> fractions{};
     for (std::size_t i = 0; i < Windows.size(); ++i) {
         const Counts &counts = service.windows[i];
-        shares[i] = share(counts.refused + counts.failed, counts.total);
+        fractions[i] = fraction(counts.refused + counts.failed, counts.total);
     }
-    return toBurn(shares, service.objectives.sloAvailability);
+    return toBurn(fractions, service.objectives.sloAvailability);
 }
 
 Burn latencyBurn(const ServiceReport &service)
 {
-    std::array<double, Windows.size()> shares{};
+    std::array<double, Windows.size()> fractions{};
     for (std::size_t i = 0; i < Windows.size(); ++i) {
         const Counts &counts = service.windows[i];
-        shares[i] = share(counts.late, counts.total - counts.refused - counts.failed);
+        fractions[i] = fraction(counts.late, counts.total - counts.refused - counts.failed);
     }
-    return toBurn(shares, service.objectives.sloPercentile);
+    return toBurn(fractions, service.objectives.sloPercentile);
 }
 
 void merge(BurnReport &into, const BurnReport &from)
@@ -154,11 +155,11 @@
     into.agents += from.agents;
     into.unreachable.insert(into.unreachable.end(), from.unreachable.begin(), from.unreachable.end());
     for (const ServiceReport &service : from.services) {
-        const auto same = std::ranges::find(into.services, service.service, &ServiceReport::service);
-        if (same == into.services.end()) {
+        const auto existing = std::ranges::find(into.services, service.service, &ServiceReport::service);
+        if (existing == into.services.end()) {
             into.services.push_back(service);
         } else {
-            mergeService(*same, service);
+            mergeService(*existing, service);
         }
     }
 }
@@ -171,7 +172,7 @@
         text += "NOT ASKED: " + agent + "; its requests are missing below\n";
     }
     for (const ServiceReport &service : report.services) {
-        text += serviceText(service);
+        text += formatService(service);
     }
     return text;
 }
--- a/src/report/BurnState.cpp
+++ b/src/report/BurnState.cpp
@@ -11,39 +11,39 @@
 
 using std::chrono::minutes;
 
-constexpr std::chrono::seconds CountWidth{30};
+constexpr std::chrono::seconds CountBucketWidth{30};
 constexpr std::size_t CountBuckets = 720;
-constexpr std::chrono::minutes BlameWidthHour{5};
-constexpr std::chrono::minutes BlameWidthSixHours{30};
+constexpr std::chrono::minutes HourBlameBucketWidth{5};
+constexpr std::chrono::minutes SixHourBlameBucketWidth{30};
 constexpr std::size_t BlameBuckets = 12;
 
-Counts toCounts(const CompletedRequest &end, const table::ServicePolicy &objectives)
+Counts toCounts(const CompletedRequest &request, const table::ServicePolicy &objectives)
 {
     Counts counts{.total = 1};
-    counts.refused = end.outcome == Outcome::Refused ? 1 : 0;
-    counts.failed = end.outcome == Outcome::Failed ? 1 : 0;
-    counts.late = end.outcome == Outcome::Answered && end.latency > objectives.sloLatency ? 1 : 0;
+    counts.refused = request.outcome == Outcome::Refused ? 1 : 0;
+    counts.failed = request.outcome == Outcome::Failed ? 1 : 0;
+    counts.late = request.outcome == Outcome::Answered && request.latency > objectives.sloLatency ? 1 : 0;
     return counts;
 }
 
-Blame &blameOf(ServiceBurn &service, const CompletedRequest &end)
+Blame &blameOf(ServiceBurn &service, const CompletedRequest &request)
 {
-    std::pair<std::string, std::string> place(end.failureDomain, end.upstream);
-    if (end.upstream.empty()) {
-        place = {NoUpstream, NoUpstream};
+    std::pair<std::string, std::string> key(request.failureDomain, request.upstream);
+    if (request.upstream.empty()) {
+        key = {NoUpstream, NoUpstream};
     }
-    if (service.blames.size() >= MaxBlamed && !service.blames.contains(place)) {
-        place = {OtherUpstreams, OtherUpstreams};
+    if (service.blames.size() >= MaxBlamed && !service.blames.contains(key)) {
+        key = {OtherUpstreams, OtherUpstreams};
     }
-    return service.blames[place];
+    return service.blames[key];
 }
 
 std::vector<BlameReport> blameReports(const ServiceBurn &service, BootTime now)
 {
     std::vector<BlameReport> reports;
-    for (const auto &[place, blame] : service.blames) {
+    for (const auto &[key, blame] : service.blames) {
         BlameReport report{
-            place.first, place.second, blame.hour.sum(minutes(60), now), blame.sixHours.sum(minutes(360), now)};
+            key.first, key.second, blame.hour.sum(minutes(60), now), blame.sixHours.sum(minutes(360), now)};
         if (report.sixHours.total > 0) {
             reports.push_back(std::move(report));
         }
@@ -57,13 +57,13 @@
 } // namespace
 
 Blame::Blame()
-    : hour(BlameWidthHour, BlameBuckets)
-    , sixHours(BlameWidthSixHours, BlameBuckets)
+    : hour(HourBlameBucketWidth, BlameBuckets)
+    , sixHours(SixHourBlameBucketWidth, BlameBuckets)
 {
 }
 
 ServiceBurn::ServiceBurn()
-    : counts(CountWidth, CountBuckets)
+    : counts(CountBucketWidth, CountBuckets)
 {
 }
 
@@ -77,21 +77,21 @@
     }
 }
 
-void record(BurnState &state, const CompletedRequest &end, BootTime now)
+void record(BurnState &state, const CompletedRequest &request, BootTime now)
 {
-    const auto found = state.services.find(end.service);
-    if (found == state.services.end() || end.outcome == Outcome::CallerFault) {
+    const auto found = state.services.find(request.service);
+    if (found == state.services.end() || request.outcome == Outcome::CallerFault) {
         return;
     }
     ServiceBurn &service = found->second;
-    const Counts counts = toCounts(end, service.objectives);
+    const Counts counts = toCounts(request, service.objectives);
     service.counts.add(counts, now);
     service.sinceStart += counts;
-    if (end.outcome == Outcome::Answered) {
-        service.latency.add(end.latency, now);
+    if (request.outcome == Outcome::Answered) {
+        service.latency.add(request.latency, now);
     }
     if (counts.refused + counts.failed + counts.late > 0) {
-        Blame &blame = blameOf(service, end);
+        Blame &blame = blameOf(service, request);
         blame.hour.add(counts, now);
         blame.sixHours.add(counts, now);
     }
--- a/src/report/LatencyStatistics.cpp
+++ b/src/report/LatencyStatistics.cpp
@@ -17,16 +17,16 @@
 
 namespace acc = boost::accumulators;
 
-using Set =
+using AccumulatorSet =
     acc::accumulator_set<double,
                          acc::stats<acc::tag::count, acc::tag::mean, acc::tag::max, acc::tag::extended_p_square>>;
 
 constexpr std::array<double, 3> Quantiles{0.5, 0.99, 0.999};
 
-/** The estimator needs a marker round each quantile before it says anything. */
-constexpr std::size_t LeastSamples = 2 * Quantiles.size() + 3;
+/** The estimator has markers at and around each quantile; it gives no estimate before every marker has a sample. */
+constexpr std::size_t MinSamples = 2 * Quantiles.size() + 3;
 
-std::chrono::nanoseconds toTime(double nanoseconds)
+std::chrono::nanoseconds toNanoseconds(double nanoseconds)
 {
     return std::chrono::nanoseconds(std::llround(nanoseconds));
 }
@@ -34,11 +34,11 @@
 } // namespace
 
 struct LatencyStatistics::Accumulator {
-    Set set{acc::tag::extended_p_square::probabilities = Quantiles};
+    AccumulatorSet set{acc::tag::extended_p_square::probabilities = Quantiles};
 };
 
 LatencyStatistics::LatencyStatistics()
-    : present(std::make_unique<Accumulator>())
+    : current(std::make_unique<Accumulator>())
 {
 }
 
@@ -46,43 +46,43 @@
 LatencyStatistics::LatencyStatistics(LatencyStatistics &&other) noexcept = default;
 LatencyStatistics &LatencyStatistics::operator=(LatencyStatistics &&other) noexcept = default;
 
-void LatencyStatistics::turn(BootTime now)
+void LatencyStatistics::rotate(BootTime now)
 {
-    if (now - this->presentStart < Period) {
+    if (now - this->currentStart < Period) {
         return;
     }
-    const bool wasPresent = now - this->presentStart < 2 * Period && acc::count(this->present->set) > 0;
-    this->last = wasPresent ? std::move(this->present) : nullptr;
-    this->present = std::make_unique<Accumulator>();
-    this->presentStart = now;
+    const bool shouldKeepCurrent = now - this->currentStart < 2 * Period && acc::count(this->current->set) > 0;
+    this->previous = shouldKeepCurrent ? std::move(this->current) : nullptr;
+    this->current = std::make_unique<Accumulator>();
+    this->currentStart = now;
 }
 
 void LatencyStatistics::add(std::chrono::nanoseconds latency, BootTime now)
 {
-    this->turn(now);
-    this->present->set(static_cast<double>(latency.count()));
+    this->rotate(now);
+    this->current->set(static_cast<double>(latency.count()));
 }
 
 LatencySummary LatencyStatistics::summary(BootTime now) const
 {
-    const bool isStale = now - this->presentStart >= 2 * Period;
-    const Set &set = this->last != nullptr && !isStale ? this->last->set : this->present->set;
+    const bool isStale = now - this->currentStart >= 2 * Period;
+    const AccumulatorSet &set = this->previous != nullptr && !isStale ? this->previous->set : this->current->set;
     LatencySummary summary;
     if (isStale || acc::count(set) == 0) {
         return summary;
     }
     summary.count = acc::count(set);
-    summary.mean = toTime(acc::mean(set));
-    summary.maximum = toTime((acc::max)(set));
-    if (summary.count < LeastSamples) {
-        // Too few for an estimate: the honest bound is the largest one.
+    summary.mean = toNanoseconds(acc::mean(set));
+    summary.maximum = toNanoseconds((acc::max)(set));
+    if (summary.count < MinSamples) {
+        // Too few samples for an estimate: the largest one is an upper bound of every quantile.
         summary.p50 = summary.p99 = summary.p999 = summary.maximum;
         return summary;
     }
     const auto estimates = acc::extended_p_square(set);
-    summary.p50 = toTime(estimates[0]);
-    summary.p99 = toTime(estimates[1]);
-    summary.p999 = toTime(estimates[2]);
+    summary.p50 = toNanoseconds(estimates[0]);
+    summary.p99 = toNanoseconds(estimates[1]);
+    summary.p999 = toNanoseconds(estimates[2]);
     return summary;
 }
 
--- a/src/report/Metric.cpp
+++ b/src/report/Metric.cpp
@@ -55,21 +55,22 @@
     return line + (sample.labels.empty() ? " " : "} ") + toText(sample.value) + "\n";
 }
 
-double seconds(std::chrono::nanoseconds time)
+double toSeconds(std::chrono::nanoseconds time)
 {
     return std::chrono::duration<double>(time).count();
 }
 
 Metric requestCounts(const BurnReport &report)
 {
-    Metric metric{"bergamotweir_requests_total",
-                  "Requests of callers that this agent took, by end; late ones are answered as well.",
-                  MetricType::Counter,
-                  {}};
+    Metric metric{
+        "bergamotweir_requests_total",
+        "Requests that this agent received from callers, by outcome; late requests are counted as answered too.",
+        MetricType::Counter,
+        {}};
     for (const ServiceReport &service : report.services) {
         const Counts &counts = service.sinceStart;
-        const auto add = [&](const char *end, std::uint64_t count) {
-            metric.samples.push_back({{{"service", service.service}, {"end", end}}, static_cast<double>(count)});
+        const auto add = [&](const char *outcome, std::uint64_t count) {
+            metric.samples.push_back({{{"service", service.service}, {"end", outcome}}, static_cast<double>(count)});
         };
         add("answered", counts.total - counts.refused - counts.failed);
         add("late", counts.late);
@@ -82,13 +83,13 @@
 Metric latencies(const BurnReport &report)
 {
     Metric metric{"bergamotweir_answer_seconds",
-                  "Time from request to whole answer over the last minutes; the quantiles are estimates.",
+                  "Time from the request to the end of its answer over the last minutes; the quantiles are estimates.",
                   MetricType::Gauge,
                   {}};
     for (const ServiceReport &service : report.services) {
         const LatencySummary &latency = service.latency;
         const auto add = [&](const char *quantile, std::chrono::nanoseconds time) {
-            metric.samples.push_back({{{"service", service.service}, {"quantile", quantile}}, seconds(time)});
+            metric.samples.push_back({{{"service", service.service}, {"quantile", quantile}}, toSeconds(time)});
         };
         add("0.5", latency.p50);
         add("0.99", latency.p99);
@@ -124,9 +125,12 @@
 
 std::vector<Metric> burnMetrics(const BurnReport &report)
 {
-    Metric rates{"bergamotweir_burn_rate", "Burn rate of an objective; 1 burns the budget.", MetricType::Gauge, {}};
+    Metric rates{"bergamotweir_burn_rate",
+                 "Burn rate of an objective; a rate of 1 uses up exactly the error budget.",
+                 MetricType::Gauge,
+                 {}};
     Metric budgets{"bergamotweir_budget_left",
-                   "Part of the error budget of the last six hours that is left.",
+                   "Fraction of the error budget of the last six hours that remains.",
                    MetricType::Gauge,
                    {}};
     for (const ServiceReport &service : report.services) {
--- a/tests/BurnReportTest.cpp
+++ b/tests/BurnReportTest.cpp
@@ -21,7 +21,7 @@
     return state;
 }
 
-CompletedRequest feesEnd(Outcome outcome, std::chrono::nanoseconds latency = 1ms, std::string_view upstream = "f1")
+CompletedRequest feesRequest(Outcome outcome, std::chrono::nanoseconds latency = 1ms, std::string_view upstream = "f1")
 {
     return {"fees", upstream, "bne-a", outcome, latency};
 }
@@ -33,18 +33,18 @@
 
 } // namespace
 
-TEST_CASE("refused, failed and late requests burn the budget; a caller's own fault does not")
+TEST_CASE("refused, failed and late requests burn the budget; a fault of the caller does not")
 {
     BurnState state = feesState();
     for (int i = 0; i < 94; ++i) {
-        record(state, feesEnd(Outcome::Answered), Start);
+        record(state, feesRequest(Outcome::Answered), Start);
     }
-    record(state, feesEnd(Outcome::Refused, 1ms, ""), Start);
-    record(state, feesEnd(Outcome::Failed, 50ms, "f2"), Start);
+    record(state, feesRequest(Outcome::Refused, 1ms, ""), Start);
+    record(state, feesRequest(Outcome::Failed, 50ms, "f2"), Start);
     for (int i = 0; i < 4; ++i) {
-        record(state, feesEnd(Outcome::Answered, 21ms), Start);
+        record(state, feesRequest(Outcome::Answered, 21ms), Start);
     }
-    record(state, feesEnd(Outcome::CallerFault), Start);
+    record(state, feesRequest(Outcome::CallerFault), Start);
     record(state, {"unknown", "", "", Outcome::Refused, 1ms}, Start);
     const ServiceReport fees = feesReport(state, Start + 1min);
     CHECK(fees.windows[FastShort] == Counts{.total = 100, .refused = 1, .failed = 1, .late = 4});
@@ -57,22 +57,22 @@
     CHECK(state.services.size() == 1);
 }
 
-TEST_CASE("an alarm needs a short and a long window, and ends soon after the fault")
+TEST_CASE("an alarm needs both a short and a long window, and clears soon after the fault ends")
 {
-    // An outage of ten minutes: the on-call engineer is called while it burns, and isn't held by an alarm that still
-    // counts the outage hours after it was mended.
+    // An outage of ten minutes must raise the fast alarm while it lasts, so that the on-call engineer is paged. The
+    // alarm must clear soon afterwards: the long windows still count the outage hours after it was mended.
     BurnState state = feesState();
     BootTime now = Start;
     const auto run = [&](std::chrono::minutes span, Outcome outcome) {
         for (const BootTime end = now + span; now < end; now += 1s) {
-            record(state, feesEnd(outcome), now);
+            record(state, feesRequest(outcome), now);
         }
     };
     run(50min, Outcome::Answered);
     CHECK_FALSE(availabilityBurn(feesReport(state, now)).fastAlarm);
     run(1min, Outcome::Failed);
-    // 1 minute in 5 is bad, but only 1 in 51: not yet.
-    CHECK(availabilityBurn(feesReport(state, now)).rates[FastShort] >= FastBurn);
+    // 1 minute of 5 failed, but only 1 of 51: the long window is below the alarm rate.
+    CHECK(availabilityBurn(feesReport(state, now)).rates[FastShort] >= FastBurnRate);
     CHECK_FALSE(availabilityBurn(feesReport(state, now)).fastAlarm);
     run(9min, Outcome::Failed);
     CHECK(availabilityBurn(feesReport(state, now)).fastAlarm);
@@ -84,11 +84,11 @@
     CHECK(feesReport(state, now).blames.empty());
 }
 
-TEST_CASE("memory stays constant however many upstreams fail")
+TEST_CASE("memory stays bounded regardless of how many upstreams fail")
 {
     BurnState state = feesState();
     for (int i = 0; i < 3000; ++i) {
-        record(state, feesEnd(Outcome::Failed, 1ms, "f" + std::to_string(i)), Start);
+        record(state, feesRequest(Outcome::Failed, 1ms, "f" + std::to_string(i)), Start);
     }
     const ServiceReport fees = feesReport(state, Start);
     CHECK(fees.blames.size() == MaxBlamed + 1);
@@ -96,14 +96,14 @@
     CHECK(fees.blames.front().hour.failed == 3000 - MaxBlamed);
 }
 
-TEST_CASE("latency quantiles are near the exact ones and forget old periods")
+TEST_CASE("latency quantiles are close to the exact ones and exclude old periods")
 {
     LatencyStatistics statistics;
     BootTime now = Start;
     statistics.add(10s, now);
     now += LatencyStatistics::Period;
     for (int i = 1; i <= 100000; ++i) {
-        // 7919 is prime: every value of 1..100000 once, in a mixed order.
+        // 7919 is prime, so this gives every value of 1..100000 once, in a mixed order.
         statistics.add(std::chrono::microseconds(i * 7919LL % 100000 + 1), now);
     }
     now += LatencyStatistics::Period;
@@ -116,11 +116,11 @@
     CHECK(statistics.summary(now + 2 * LatencyStatistics::Period).count == 0);
 }
 
-TEST_CASE("reports of agents are read back, added up, and damaged ones are refused")
+TEST_CASE("burn reports are read back and merged, and malformed ones are rejected")
 {
     BurnState state = feesState();
-    record(state, feesEnd(Outcome::Failed), Start);
-    record(state, feesEnd(Outcome::Answered), Start);
+    record(state, feesRequest(Outcome::Failed), Start);
+    record(state, feesRequest(Outcome::Answered), Start);
     const BurnReport one = makeReport(state, Start + 90s);
     BurnReport sum = fromJson(toJson(one)).value();
     CHECK(toJson(sum) == toJson(one));
@@ -143,7 +143,7 @@
     CHECK(toPrometheus(metrics)
           == "# HELP a_total Help.\n# TYPE a_total counter\na_total{x=\"q\\\"\\\\\\n\",y=\"1\"} 2.5\na_total 3\n");
     BurnState state = feesState();
-    record(state, feesEnd(Outcome::Refused), Start);
+    record(state, feesRequest(Outcome::Refused), Start);
     const std::string text = toPrometheus(burnMetrics(makeReport(state, Start)));
     CHECK(text.find("bergamotweir_requests_total{service=\"fees\",end=\"refused\"} 1\n") != std::string::npos);
     CHECK(text.find("bergamotweir_budget_left{service=\"fees\",objective=\"availability\"} -99") != std::string::npos);
