--- a/include/table/CallerIdentity.h
+++ b/include/table/CallerIdentity.h
@@ -7,15 +7,15 @@
 
 namespace bergamotweir::table {
 
-/** What a request's credentials say of its caller. */
+/** Result of checking the credentials of a request. */
 enum class KeyVerdict {
     /** No key is needed, or the route serves callers without one. */
     Anonymous,
     /** The key belongs to a workspace. */
     Known,
-    /** A key is needed and there is none, or it can't be told which one is meant. */
+    /** A key is needed and there is none, or there are several credentials fields. */
     Missing,
-    /** No workspace holds the key. */
+    /** The key belongs to no workspace. */
     Unknown
 };
 
@@ -26,16 +26,16 @@
     std::string_view key;
 };
 
-/** Who a caller is. */
+/** Identity of a caller. */
 struct CallerIdentity {
     KeyVerdict verdict = KeyVerdict::Anonymous;
-    /** Set for a known key; valid as long as the table. */
+    /** Set for a known key; valid as long as the table of routes. */
     const Workspace *workspace = nullptr;
 };
 
 /**
- * Judges one request by itself, whatever was sent on its connection before.
- * @param credentials of each field that the request carries
+ * Identifies the caller of one request, independent of earlier requests on its connection.
+ * @param credentials one entry for each credentials field of the request
  */
 CallerIdentity identify(const RouteTable &routes, const Route &route, const std::vector<Credentials> &credentials);
 
--- a/include/table/ChangeWarnings.h
+++ b/include/table/ChangeWarnings.h
@@ -10,7 +10,7 @@
 
 class Table;
 
-/** What operators marked out of service, beside the table. */
+/** Failure domains and upstreams that operators marked out of service, in addition to the table. */
 struct Marks {
     std::set<std::string> failureDomainsOut;
     std::set<std::string> upstreamsOut;
@@ -25,15 +25,15 @@
     std::string name;
 };
 
-/** @return true when the table, its weight and the marks all leave the upstream in service */
+/** @return true when the table and the marks leave the upstream in service and its weight is above 0 */
 bool isInService(const Table &table, const Marks &marks, const KnownUpstream &upstream);
 
 /**
- * Looks for services that a change would leave without any upstream or failure domain in service.
+ * Finds services that a change would leave without any upstream in service.
  * @param before table and marks in force
  * @param after table and marks after the change
  * @param known the upstreams that announced themselves
- * @return one finding for each service that has an upstream in service before and none after
+ * @return one finding for each service that has an upstream in service before the change and none after it
  */
 Findings warnings(const Table &before,
                   const Marks &marksBefore,
--- a/include/table/LimitBounds.h
+++ b/include/table/LimitBounds.h
@@ -6,7 +6,7 @@
 
 namespace bergamotweir::table {
 
-/** How far a workspace's requests may exceed its limit; the same for all agents and replicas of a deployment. */
+/** How far the requests of a workspace may exceed its limit; the same for all agents and replicas of a deployment. */
 struct LimitBounds {
     /** In every window of this length, (rate x window + burst) x (1 + overage) + slack requests may run. */
     std::chrono::milliseconds window{std::chrono::seconds(5)};
@@ -14,10 +14,10 @@
     double slack = 0;
 };
 
-/** @return whether the workspace has a limit */
+/** @return true when the workspace has a limit */
 bool isLimited(const Workspace &workspace);
 
-/** @return requests that all agents together may let through in every window; 1 at least */
+/** @return maximum number of requests that all agents together may admit in every window; at least 1 */
 double maxInWindow(const Workspace &workspace, const LimitBounds &bounds);
 
 } // namespace bergamotweir::table
--- a/include/table/RouteKind.h
+++ b/include/table/RouteKind.h
@@ -2,9 +2,9 @@
 
 namespace bergamotweir::table {
 
-/** What a route's requests may have done to them. */
+/** Kind of the requests of a route; it decides whether they may be retried. */
 enum class RouteKind {
-    /** A request may be sent again whatever became of an earlier send. */
+    /** A request may be sent again, even when an earlier send may have run. */
     Idempotent,
     /** A request runs at most once. */
     NonIdempotent,
@@ -12,7 +12,7 @@
     Upload
 };
 
-/** @return whether a request that may have run may be sent again */
+/** @return true when a request that may have run may be sent again */
 bool canRetry(RouteKind kind);
 
 /** @return the kind's name, for logs and metrics */
--- a/include/table/RouteTable.h
+++ b/include/table/RouteTable.h
@@ -15,51 +15,51 @@
 
 namespace bergamotweir::table {
 
-/** One of the services that a route's requests are divided between. */
+/** One of the services that the requests of a route are split between. */
 struct RoutePart {
     std::string service;
     /** Share of the requests, relative to the route's other parts. */
     double weight = 1;
 };
 
-/** What holds for requests to one host below one path prefix. */
+/** Rules for requests to one host below one path prefix. */
 struct Route {
     std::string name;
     std::string host;
     /** Begins and ends with a slash. */
     std::string prefix;
     RouteKind kind = RouteKind::NonIdempotent;
-    /** Longest time that a caller is kept waiting. */
+    /** Maximum time that a caller waits for the answer. */
     std::chrono::milliseconds timeout{0};
-    /** An answer within this time is as good as can be. */
+    /** Latency target; an answer that arrives earlier has no further benefit. */
     std::chrono::milliseconds targetLatency{0};
-    /** 0 is the most urgent. */
+    /** 0 is the highest priority. */
     unsigned priority = 0;
-    /** Most upstreams that one request may be sent to. */
+    /** Maximum number of upstreams that one request may be sent to. */
     unsigned attempts = 1;
-    /** At least one has a weight above 0. */
+    /** At least one part has a weight above 0. */
     std::vector<RoutePart> parts;
-    /** Serves callers without a key where the others need one. */
+    /** Whether callers without a key are served although other routes require one. */
     bool allowsKeylessCallers = false;
 };
 
-/** What the table of routes says of a service. */
+/** Settings of a service in the table of routes. */
 struct RoutedService {
     std::string name;
-    /** Path that tells whether an upstream is well. */
+    /** Path of the health check of an upstream. */
     std::string healthPath;
-    /** Connections that an upstream accepts from everybody together; 0 is not stated. */
+    /** Maximum connections that an upstream accepts from all its clients together; 0 when not stated. */
     unsigned maxConnections = 0;
-    /** Divided by a number that each request carries. */
+    /** Whether keys are numbers that requests carry. */
     bool numberedKeys = false;
-    /** Requests a second that a cold upstream bears; 0 is not stated. */
+    /** Maximum requests a second for a cold upstream; 0 when not stated. */
     double warmupPerSecond = 0;
-    /** Whether its upstreams get their keys by orders, and not with the answers to their heartbeats. */
+    /** Whether upstreams are granted keys by orders, and not with the answers to their heartbeats. */
     bool grantsByCall = false;
 };
 
 /**
- * The routes in force, an immutable value. Copies share their content. Owned by the Table that it is a part of.
+ * The routes in force, an immutable value; copies share the content. Owned by the Table that contains it.
  */
 class RouteTable
 {
@@ -70,13 +70,13 @@
     /** @param routes checked by validateRoutes() */
     explicit RouteTable(const wire::RouteTable &routes);
 
-    /** @return the operator's number of this version; 0 before the first one */
+    /** @return the revision number that the operator assigned; 0 before the first revision */
     std::uint64_t revision() const;
 
     /**
-     * @param host without regard to letter case
+     * @param host compared without regard to letter case
      * @param path without the query
-     * @return the route of that host with the longest prefix that begins the path, or nullptr; valid as long as this
+     * @return the route of that host with the longest matching prefix, or nullptr; valid as long as this
      */
     const Route *find(std::string_view host, std::string_view path) const;
 
@@ -86,12 +86,12 @@
     /** @return all services by name */
     const std::map<std::string, RoutedService, std::less<>> &services() const;
 
-    /** @return whether a caller must name its workspace by a key, except on routes that allow otherwise */
+    /** @return true when a caller must identify its workspace by a key, except on routes with allowsKeylessCallers */
     bool requiresCallerKeys() const;
 
     /**
      * @param key as the caller sends it
-     * @return the workspace that holds the key, or nullptr; valid as long as this
+     * @return the workspace that the key belongs to, or nullptr; valid as long as this
      */
     const Workspace *workspaceOf(std::string_view key) const;
 
@@ -107,42 +107,42 @@
 };
 
 /**
- * Checks a whole table of routes.
+ * Validates a whole table of routes.
  * @return every finding with its place: unknown services, parts without weight, no timeout, no attempts, bad prefixes,
- *         names used twice, limits below 0, keys of two workspaces; none shows a key
+ *         names used twice, limits below 0, keys of two workspaces; no finding contains a key
  */
 Findings validateRoutes(const wire::RouteTable &routes);
 
 /**
  * Replaces the keys of workspaces by their digests.
  * @param digestKey DigestKeyBytes long
- * @return a finding for each empty key and for a secret of another length, with the workspace's name
+ * @return a finding with the workspace's name for each empty key, and for a secret of another length
  */
 Findings digestKeys(wire::RouteTable &routes, const std::string &digestKey);
 
 /**
- * Applies a change of named items.
- * @param base what is in force
+ * Applies a partial change, which replaces, adds or removes the items that it names.
+ * @param base the table in force
  * @param change with partial set
- * @return the whole table after it, not checked
+ * @return the whole table after the change, not validated
  */
 wire::RouteTable merged(const wire::RouteTable &base, const wire::PutRoutes &change);
 
 /**
- * Guards against a table of routes that takes longer to reach the agents than it may: at 1,400 routes the whole one
- * takes seconds over the thinnest link, with each change anew. Agents get what changed, without the operator's own
- * text.
- * @return the change that leads from one table to another
+ * Computes the change between two tables of routes, without the operator's own text.
+ * Agents receive only what changed: the whole table of 1,400 routes takes seconds over the slowest link, for each
+ * change again, which is longer than a change may take to reach the agents.
+ * @return the change that turns one table into the other
  */
 wire::PutRoutes difference(const wire::RouteTable &from, const wire::RouteTable &to);
 
 /**
- * Joins two changes of which the second follows the first.
- * @return one change that leads to where both lead, from where the first begins or from any point between
+ * Combines two consecutive changes.
+ * @return one change with the same result as both, whether applied to the base of the first or to any revision between
  */
 wire::PutRoutes joined(const wire::PutRoutes &first, const wire::PutRoutes &second);
 
-/** @return the table without the operator's own text of its items */
+/** @return the table without the operator's own text for its items */
 wire::RouteTable withoutSources(const wire::RouteTable &routes);
 
 } // namespace bergamotweir::table
--- a/include/table/Row.h
+++ b/include/table/Row.h
@@ -6,12 +6,12 @@
 
 namespace bergamotweir::table {
 
-/** Stands for any service, failure domain or upstream in a row. */
+/** Wildcard for any service, failure domain or upstream in a row. */
 inline constexpr const char *Any = "*";
 
-/** One row of the table: which upstreams it speaks of, and the columns that it sets; an empty cell sets nothing. */
+/** One row of the table: the upstreams that it applies to, and the columns that it sets; an empty cell sets nothing. */
 struct Row {
-    /** Line of the file, counted from 1 with comments and blank lines. */
+    /** Line number in the file, counted from 1 including comments and blank lines. */
     unsigned number = 0;
     std::string service = Any;
     std::string failureDomain = Any;
--- a/include/table/RowDifference.h
+++ b/include/table/RowDifference.h
@@ -17,7 +17,7 @@
     bool operator==(const CellDifference &other) const = default;
 };
 
-/** What differs between two tables in the rows for one service, failure domain and upstream. */
+/** The differences between two tables in the rows for one service, failure domain and upstream. */
 struct RowDifference {
     std::string service;
     std::string failureDomain;
@@ -28,7 +28,7 @@
 };
 
 /**
- * Compares two tables by meaning: comments, order of rows and columns make no difference.
+ * Compares two tables by content: comments and the order of rows and columns are ignored.
  * @return the differing rows, sorted by service, failure domain and upstream
  */
 std::vector<RowDifference> differences(const Table &before, const Table &after);
--- a/include/table/Table.h
+++ b/include/table/Table.h
@@ -12,7 +12,7 @@
 
 namespace bergamotweir::table {
 
-/** Bounds of a table: what a replica must be able to hold, send and check within one turn of its loop. */
+/** Bounds of a table, so that a replica can store, send and check it within one iteration of its event loop. */
 inline constexpr std::size_t MaxTableBytes = std::size_t{2} << 20U;
 inline constexpr std::size_t MaxRows = 20000;
 inline constexpr std::size_t MaxNameLength = 64;
@@ -20,29 +20,30 @@
 
 /**
  * The shared table: weights, limits, deadlines and objectives by service, failure domain and upstream.
- * An immutable value; copies share the rows. Owned by whoever acts on it.
+ * An immutable value; copies share the rows. Each user owns its copy.
  *
- * Which row wins is decided for each column on its own, among the rows that match and set the column: one that names
- * the upstream beats one that doesn't; then one that names the failure domain; then one that names the service.
+ * Precedence is decided separately for each column, among the rows that match and set the column: a row that names the
+ * upstream takes precedence over one that doesn't; then one that names the failure domain; then one that names the
+ * service.
  * Two rows with the same three names must not set the same column.
  */
 class Table
 {
 public:
-    /** A table without rows: no service is known. */
+    /** Makes a table without rows, in which no service is known. */
     Table();
 
     /**
-     * Reads a table.
+     * Parses a table.
      * @param csv header and rows, UTF-8, at most MaxTableBytes
      * @return the table, or every finding with its "row N, column C" place (the first MaxFindings)
      */
     static Result<Table> parse(std::string_view csv);
 
-    /** @return the same rows beside other routes; services that only the routes name are known as well */
+    /** @return a table of the same rows with other routes; services that only the routes name are known as well */
     Table withRoutes(RouteTable routes) const;
 
-    /** @return the routes; none where the table was only parsed */
+    /** @return the routes; empty when the table was only parsed */
     const RouteTable &routes() const;
 
     /** @return true when a row or the routes name this service */
@@ -51,16 +52,16 @@
     /** @return the services that rows and routes name, sorted */
     std::vector<std::string> services() const;
 
-    /** @return what holds for a service; the defaults where no row sets a column */
+    /** @return the policy of a service, with the default for each column that no row sets */
     ServicePolicy service(std::string_view service) const;
 
-    /** @return what holds for an upstream; the defaults where no row sets a column */
+    /** @return the policy of an upstream, with the default for each column that no row sets */
     UpstreamPolicy upstream(std::string_view service, std::string_view failureDomain, std::string_view upstream) const;
 
     /** @return the rows in the order of the file */
     const std::vector<Row> &rows() const;
 
-    /** @return the table as CSV with all columns and without comments; parse() of it gives equal rows */
+    /** @return the table as CSV with all columns and without comments; parse() gives equal rows from it */
     std::string toCsv() const;
 
 private:
--- a/include/table/Workspace.h
+++ b/include/table/Workspace.h
@@ -8,11 +8,11 @@
 /** A group of callers that share keys, a priority and a limit. */
 struct Workspace {
     std::string name;
-    /** Goes before the priority of the route; absent where not stated. */
+    /** Overrides the priority of the route; absent when not stated. */
     std::optional<unsigned> priority;
-    /** Requests a second that all agents together let through; 0 is no limit. */
+    /** Requests a second that all agents together admit; 0 is no limit. */
     double ratePerSecond = 0;
-    /** Requests beyond the rate that may come at once. */
+    /** Requests beyond the rate that may arrive at once. */
     double burst = 0;
 };
 
--- a/src/table/Column.cpp
+++ b/src/table/Column.cpp
@@ -23,11 +23,11 @@
 }
 
 template<typename Number>
-bool readNumber(std::string_view cell, Number least, Number most, Number &number)
+bool readNumber(std::string_view cell, Number min, Number max, Number &number)
 {
     const auto [end, error] = std::from_chars(cell.data(), cell.data() + cell.size(), number);
-    // Written so that a NaN fails.
-    return error == std::errc() && end == cell.data() + cell.size() && number >= least && number <= most;
+    // Both comparisons are false for a NaN, which is thus rejected.
+    return error == std::errc() && end == cell.data() + cell.size() && number >= min && number <= max;
 }
 
 template<typename Number>
@@ -56,18 +56,18 @@
 }
 
 template<auto Member>
-void fill(Row &row, const Row &from)
+void fillUnset(Row &row, const Row &from)
 {
     if (!(row.*Member).has_value()) {
         row.*Member = from.*Member;
     }
 }
 
-template<auto Member, typename Bounds>
+template<auto Member, typename Range>
 bool read(std::string_view cell, Row &row)
 {
-    auto number = Bounds::Least;
-    if (!readNumber(cell, Bounds::Least, Bounds::Most, number)) {
+    auto number = Range::Min;
+    if (!readNumber(cell, Range::Min, Range::Max, number)) {
         return false;
     }
     row.*Member = typename std::remove_cvref_t<decltype(row.*Member)>::value_type(number);
@@ -102,24 +102,24 @@
     return *(row.*Member) ? "yes" : "no";
 }
 
-struct WeightBounds {
-    static constexpr double Least = 0;
-    static constexpr double Most = 1000;
+struct WeightRange {
+    static constexpr double Min = 0;
+    static constexpr double Max = 1000;
 };
 
-struct LimitBounds {
-    static constexpr unsigned Least = 0;
-    static constexpr unsigned Most = 10000;
+struct LimitRange {
+    static constexpr unsigned Min = 0;
+    static constexpr unsigned Max = 10000;
 };
 
-struct TimeMsBounds {
-    static constexpr long Least = 1;
-    static constexpr long Most = 600000;
+struct TimeMsRange {
+    static constexpr long Min = 1;
+    static constexpr long Max = 600000;
 };
 
-struct PercentBounds {
-    static constexpr double Least = 1;
-    static constexpr double Most = 99.9999;
+struct PercentRange {
+    static constexpr double Min = 1;
+    static constexpr double Max = 99.9999;
 };
 
 constexpr std::string_view NameRule = "a name of at most 64 letters, digits, '.', '_' and '-', nor *";
@@ -144,52 +144,52 @@
            "a number from 0 to 1000",
            "1",
            false,
-           read<&Row::weight, WeightBounds>,
+           read<&Row::weight, WeightRange>,
            write<&Row::weight>,
-           fill<&Row::weight>},
+           fillUnset<&Row::weight>},
     Column{"limit",
            "a whole number from 0 to 10000",
            "12",
            false,
-           read<&Row::limit, LimitBounds>,
+           read<&Row::limit, LimitRange>,
            write<&Row::limit>,
-           fill<&Row::limit>},
-    Column{"keyed", YesNoRule, "yes", true, readYesNo<&Row::keyed>, writeYesNo<&Row::keyed>, fill<&Row::keyed>},
+           fillUnset<&Row::limit>},
+    Column{"keyed", YesNoRule, "yes", true, readYesNo<&Row::keyed>, writeYesNo<&Row::keyed>, fillUnset<&Row::keyed>},
     Column{"timeout_ms",
            TimeRule,
            "1000",
            true,
-           read<&Row::timeout, TimeMsBounds>,
+           read<&Row::timeout, TimeMsRange>,
            writeTime<&Row::timeout>,
-           fill<&Row::timeout>},
+           fillUnset<&Row::timeout>},
     Column{"slo_availability",
            PercentRule,
            "99.9",
            true,
-           read<&Row::sloAvailability, PercentBounds>,
+           read<&Row::sloAvailability, PercentRange>,
            write<&Row::sloAvailability>,
-           fill<&Row::sloAvailability>},
+           fillUnset<&Row::sloAvailability>},
     Column{"slo_latency_ms",
            TimeRule,
            "14",
            true,
-           read<&Row::sloLatency, TimeMsBounds>,
+           read<&Row::sloLatency, TimeMsRange>,
            writeTime<&Row::sloLatency>,
-           fill<&Row::sloLatency>},
+           fillUnset<&Row::sloLatency>},
     Column{"slo_percentile",
            PercentRule,
            "99",
            true,
-           read<&Row::sloPercentile, PercentBounds>,
+           read<&Row::sloPercentile, PercentRange>,
            write<&Row::sloPercentile>,
-           fill<&Row::sloPercentile>},
+           fillUnset<&Row::sloPercentile>},
     Column{"in_service",
            YesNoRule,
            "yes",
            false,
            readYesNo<&Row::inService>,
            writeYesNo<&Row::inService>,
-           fill<&Row::inService>},
+           fillUnset<&Row::inService>},
 };
 
 } // namespace
--- a/src/table/Column.h
+++ b/src/table/Column.h
@@ -8,27 +8,27 @@
 
 namespace bergamotweir::table {
 
-/** One column of the table: how its cells are read, written and laid over each other. */
+/** One column of the table: functions that read, write and merge its cells. */
 struct Column {
     std::string_view name;
-    /** What a cell may hold, completes "which isn't ...". */
+    /** Describes a valid cell; completes the finding "... isn't ...". */
     std::string_view expected;
-    /** A value to write instead of a bad one. */
+    /** A valid cell, suggested as the remedy of an invalid one. */
     std::string_view example;
-    /** True for columns that speak of a service as a whole; its rows name no failure domain and no upstream. */
-    bool wholeService;
-    /** Sets the value in a row; false when the cell doesn't hold one. The cell is not empty. */
+    /** True for columns of a service as a whole; rows that set one name no failure domain and no upstream. */
+    bool isServiceWide;
+    /** Sets the value in a row; returns false when the cell is not valid. The cell must not be empty. */
     bool (*read)(std::string_view cell, Row &row);
     /** @return the cell, empty when not set */
     std::string (*write)(const Row &row);
-    /** Sets the value from another row unless it is set already. */
-    void (*fill)(Row &row, const Row &from);
+    /** Copies the value from another row unless it is set already. */
+    void (*fillUnset)(Row &row, const Row &from);
 };
 
-/** @return the three columns that tell what a row speaks of: service, failure domain, upstream */
+/** @return the three columns that select what a row applies to: service, failure domain, upstream */
 std::span<const Column> nameColumns();
 
-/** @return the columns that set something */
+/** @return the columns that set a policy value */
 std::span<const Column> valueColumns();
 
 } // namespace bergamotweir::table
--- a/src/table/CsvLine.cpp
+++ b/src/table/CsvLine.cpp
@@ -6,18 +6,18 @@
 
 namespace {
 
-/** A libcsv parser that frees itself. */
+/** Owns a libcsv parser and frees it. */
 class Parser
 {
 public:
     Parser()
     {
-        this->opened = csv_init(&this->parser, CSV_STRICT | CSV_STRICT_FINI) == 0;
+        this->isInitialized = csv_init(&this->parser, CSV_STRICT | CSV_STRICT_FINI) == 0;
     }
 
     ~Parser()
     {
-        if (this->opened) {
+        if (this->isInitialized) {
             csv_free(&this->parser);
         }
     }
@@ -27,19 +27,20 @@
 
     bool read(std::string_view line, std::vector<std::string> &cells)
     {
-        return this->opened
-               && csv_parse(&this->parser, line.data(), line.size(), &Parser::cellEnded, nullptr, &cells) == line.size()
-               && csv_fini(&this->parser, &Parser::cellEnded, nullptr, &cells) == 0;
+        return this->isInitialized
+               && csv_parse(&this->parser, line.data(), line.size(), &Parser::appendCell, nullptr, &cells)
+                      == line.size()
+               && csv_fini(&this->parser, &Parser::appendCell, nullptr, &cells) == 0;
     }
 
 private:
-    static void cellEnded(void *bytes, std::size_t length, void *cells)
+    static void appendCell(void *bytes, std::size_t length, void *cells)
     {
         static_cast<std::vector<std::string> *>(cells)->emplace_back(static_cast<const char *>(bytes), length);
     }
 
     csv_parser parser{};
-    bool opened = false;
+    bool isInitialized = false;
 };
 
 bool needsQuotes(const std::string &cell)
--- a/src/table/KeyDigest.cpp
+++ b/src/table/KeyDigest.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::size_t DigestBytes = crypto_generichash_BYTES_MIN;
 
-const unsigned char *bytesOf(std::string_view text)
+const unsigned char *toBytes(std::string_view text)
 {
     return reinterpret_cast<const unsigned char *>(text.data());
 }
@@ -23,9 +23,9 @@
     std::string digest(DigestBytes, '\0');
     crypto_generichash(reinterpret_cast<unsigned char *>(digest.data()),
                        digest.size(),
-                       bytesOf(key),
+                       toBytes(key),
                        key.size(),
-                       bytesOf(digestKey),
+                       toBytes(digestKey),
                        digestKey.size());
     return digest;
 }
--- a/src/table/LimitBounds.cpp
+++ b/src/table/LimitBounds.cpp
@@ -13,8 +13,8 @@
 double maxInWindow(const Workspace &workspace, const LimitBounds &bounds)
 {
     const double seconds = std::chrono::duration<double>(bounds.window).count();
-    const double most = workspace.ratePerSecond * seconds + workspace.burst;
-    return std::max(1.0, std::floor(most * (1 + bounds.overage) + bounds.slack));
+    const double allowedRequests = workspace.ratePerSecond * seconds + workspace.burst;
+    return std::max(1.0, std::floor(allowedRequests * (1 + bounds.overage) + bounds.slack));
 }
 
 } // namespace bergamotweir::table
--- a/src/table/RouteTable.cpp
+++ b/src/table/RouteTable.cpp
@@ -77,7 +77,7 @@
     return workspace;
 }
 
-/** Digests are evenly distributed: a part of one serves as its hash. */
+/** Uses the first bytes of a digest as its hash, as digests are uniformly distributed. */
 struct DigestHash {
     std::size_t operator()(const std::string &digest) const
     {
@@ -94,7 +94,7 @@
     }
 };
 
-bool isPrefix(const std::string &text)
+bool isValidPrefix(const std::string &text)
 {
     return text.starts_with('/') && text.ends_with('/');
 }
@@ -123,7 +123,7 @@
     if (route.name().empty() || route.host().empty()) {
         findings.push_back({place, "has no name or no host", {}});
     }
-    if (!isPrefix(route.prefix())) {
+    if (!isValidPrefix(route.prefix())) {
         findings.push_back({place, "its prefix doesn't begin and end with a slash", "/orders/"});
     }
     if (route.timeout_ms() == 0) {
@@ -138,7 +138,7 @@
 void checkWorkspaces(const wire::RouteTable &routes, Findings &findings)
 {
     std::set<std::string> names;
-    std::unordered_map<std::string, std::string> holders;
+    std::unordered_map<std::string, std::string> workspaceByDigest;
     for (const wire::Workspace &workspace : routes.workspaces()) {
         const std::string place = "workspace " + workspace.name();
         if (workspace.name().empty() || !names.insert(workspace.name()).second) {
@@ -148,7 +148,7 @@
             findings.push_back({place, "its rate or burst is below 0", "0 or more"});
         }
         for (const std::string &digest : workspace.key_digests()) {
-            const auto [holder, added] = holders.emplace(digest, workspace.name());
+            const auto [holder, added] = workspaceByDigest.emplace(digest, workspace.name());
             if (!added && holder->second != workspace.name()) {
                 findings.push_back({place, "shares a key with workspace " + holder->second, "a key of its own"});
             }
@@ -156,17 +156,17 @@
     }
 }
 
-/** Replaces the items of @p to that have the name of one of @p from, and adds the others. */
+/** Replaces the items of @p to that have the name of an item of @p from, and adds the other items of @p from. */
 template<typename Items>
 void upsert(Items &to, const Items &from)
 {
-    std::unordered_map<std::string, int> places;
-    for (int place = 0; place < to.size(); ++place) {
-        places[to.Get(place).name()] = place;
+    std::unordered_map<std::string, int> indexes;
+    for (int index = 0; index < to.size(); ++index) {
+        indexes[to.Get(index).name()] = index;
     }
     for (const auto &item : from) {
-        const auto found = places.find(item.name());
-        if (found != places.end()) {
+        const auto found = indexes.find(item.name());
+        if (found != indexes.end()) {
             *to.Mutable(found->second) = item;
         } else {
             *to.Add() = item;
@@ -177,14 +177,14 @@
 template<typename Items, typename Names>
 void removeNamed(Items &from, const Names &names)
 {
-    const std::set<std::string> gone(names.begin(), names.end());
+    const std::set<std::string> removed(names.begin(), names.end());
     const auto end = std::remove_if(from.begin(), from.end(), [&](const auto &item) {
-        return gone.contains(item.name());
+        return removed.contains(item.name());
     });
     from.erase(end, from.end());
 }
 
-/** Adds to @p changed the items that are new or different, and to @p removed the names that are gone. */
+/** Adds the items that are new or different to @p changed, and the names that @p to lacks to @p removed. */
 template<typename Items, typename Names>
 void addDifference(const Items &from, const Items &to, Items &changed, Names &removed)
 {
@@ -193,8 +193,8 @@
         before[item.name()] = item.SerializeAsString();
     }
     for (const auto &item : to) {
-        const auto known = before.find(item.name());
-        if (known == before.end() || known->second != item.SerializeAsString()) {
+        const auto previous = before.find(item.name());
+        if (previous == before.end() || previous->second != item.SerializeAsString()) {
             *changed.Add() = item;
         }
         before.erase(item.name());
@@ -204,21 +204,21 @@
     }
 }
 
-/** Removes what a later change puts there again from the names that are gone. */
+/** Drops the names of items that a later change adds again from the names of removed items. */
 template<typename Names, typename Items>
 Names withoutItems(const Names &names, const Items &items)
 {
-    std::set<std::string> back;
+    std::set<std::string> addedNames;
     for (const auto &item : items) {
-        back.insert(item.name());
+        addedNames.insert(item.name());
     }
-    Names left;
+    Names remaining;
     for (const std::string &name : names) {
-        if (!back.contains(name)) {
-            left.Add(std::string(name));
+        if (!addedNames.contains(name)) {
+            remaining.Add(std::string(name));
         }
     }
-    return left;
+    return remaining;
 }
 
 } // namespace
@@ -241,30 +241,30 @@
 
 RouteTable::RouteTable(const wire::RouteTable &routes)
 {
-    auto made = std::make_shared<Content>();
-    made->revision = routes.revision();
+    auto newContent = std::make_shared<Content>();
+    newContent->revision = routes.revision();
     for (const wire::Route &route : routes.routes()) {
-        Route read = fromWire(route);
-        made->byHost[read.host].push_back(std::move(read));
+        Route converted = fromWire(route);
+        newContent->byHost[converted.host].push_back(std::move(converted));
     }
-    for (auto &[host, list] : made->byHost) {
-        std::stable_sort(list.begin(), list.end(), [](const Route &left, const Route &right) {
+    for (auto &[host, routesOfHost] : newContent->byHost) {
+        std::stable_sort(routesOfHost.begin(), routesOfHost.end(), [](const Route &left, const Route &right) {
             return left.prefix.size() > right.prefix.size();
         });
     }
     for (const wire::RoutedService &service : routes.services()) {
-        made->services[service.name()] = fromWire(service);
+        newContent->services[service.name()] = fromWire(service);
     }
-    made->requiresCallerKeys = routes.callers_need_keys();
-    made->digestKey = routes.digest_key();
+    newContent->requiresCallerKeys = routes.callers_need_keys();
+    newContent->digestKey = routes.digest_key();
     for (const wire::Workspace &workspace : routes.workspaces()) {
-        Workspace &read = made->workspaces[workspace.name()];
-        read = fromWire(workspace);
+        Workspace &converted = newContent->workspaces[workspace.name()];
+        converted = fromWire(workspace);
         for (const std::string &digest : workspace.key_digests()) {
-            made->byKeyDigest[digest] = &read;
+            newContent->byKeyDigest[digest] = &converted;
         }
     }
-    this->content = std::move(made);
+    this->content = std::move(newContent);
 }
 
 std::uint64_t RouteTable::revision() const
@@ -362,20 +362,20 @@
 
 wire::RouteTable withoutSources(const wire::RouteTable &routes)
 {
-    wire::RouteTable bare = routes;
-    for (wire::Route &route : *bare.mutable_routes()) {
+    wire::RouteTable result = routes;
+    for (wire::Route &route : *result.mutable_routes()) {
         route.clear_source();
     }
-    for (wire::RoutedService &service : *bare.mutable_services()) {
+    for (wire::RoutedService &service : *result.mutable_services()) {
         service.clear_source();
     }
-    for (wire::Workspace &workspace : *bare.mutable_workspaces()) {
+    for (wire::Workspace &workspace : *result.mutable_workspaces()) {
         workspace.clear_source();
     }
-    if (bare.has_limits()) {
-        bare.mutable_limits()->clear_source();
+    if (result.has_limits()) {
+        result.mutable_limits()->clear_source();
     }
-    return bare;
+    return result;
 }
 
 wire::PutRoutes difference(const wire::RouteTable &from, const wire::RouteTable &to)
--- a/src/table/RowDifference.cpp
+++ b/src/table/RowDifference.cpp
@@ -12,25 +12,25 @@
 
 namespace {
 
-/** Names of a row; they live as long as the tables. */
+/** Service, failure domain and upstream of a row; valid as long as the tables. */
 using Names = std::tuple<std::string_view, std::string_view, std::string_view>;
 
-/** The rows for the same names in both tables, each laid together; nothing where a table has none. */
+/** The merged rows for the same names in both tables; nullopt when a table has none. */
 struct RowPair {
     std::optional<Row> before;
     std::optional<Row> after;
 };
 
-void lay(std::optional<Row> &into, const Row &row)
+void mergeRow(std::optional<Row> &into, const Row &row)
 {
     if (!into) {
         into = row;
-        // The place in the file makes no difference.
+        // The line number is not compared.
         into->number = 0;
         return;
     }
     for (const Column &column : valueColumns()) {
-        column.fill(*into, row);
+        column.fillUnset(*into, row);
     }
 }
 
@@ -52,10 +52,10 @@
 {
     std::map<Names, RowPair> pairs;
     for (const Row &row : before.rows()) {
-        lay(pairs[{row.service, row.failureDomain, row.upstream}].before, row);
+        mergeRow(pairs[{row.service, row.failureDomain, row.upstream}].before, row);
     }
     for (const Row &row : after.rows()) {
-        lay(pairs[{row.service, row.failureDomain, row.upstream}].after, row);
+        mergeRow(pairs[{row.service, row.failureDomain, row.upstream}].after, row);
     }
     std::vector<RowDifference> result;
     for (const auto &[names, pair] : pairs) {
@@ -64,7 +64,7 @@
         }
         std::vector<CellDifference> cells = cellDifferences(pair.before.value_or(Row()), pair.after.value_or(Row()));
         if (cells.empty()) {
-            // A row that sets nothing still makes its service known.
+            // A row that sets no column still makes its service known, so its presence is a difference.
             cells.push_back({"row", pair.before ? "there" : "", pair.after ? "there" : ""});
         }
         const auto &[service, failureDomain, upstream] = names;
@@ -75,12 +75,12 @@
 
 std::string toText(const RowDifference &difference)
 {
-    const auto shown = [](const std::string &cell) {
+    const auto displayed = [](const std::string &cell) {
         return cell.empty() ? std::string("not set") : cell;
     };
     std::string text = difference.service + "," + difference.failureDomain + "," + difference.upstream + ":";
     for (const CellDifference &cell : difference.cells) {
-        text += " " + cell.column + " " + shown(cell.before) + " -> " + shown(cell.after) + ";";
+        text += " " + cell.column + " " + displayed(cell.before) + " -> " + displayed(cell.after) + ";";
     }
     text.pop_back();
     return text;
--- a/src/table/Table.cpp
+++ b/src/table/Table.cpp
@@ -12,19 +12,19 @@
 
 namespace {
 
-std::string key(std::string_view service, std::string_view failureDomain, std::string_view upstream)
+std::string keyOfNames(std::string_view service, std::string_view failureDomain, std::string_view upstream)
 {
     std::string joined;
     joined.reserve(service.size() + failureDomain.size() + upstream.size() + 2);
-    // Names hold no comma, so that the joined key is unique.
+    // Names contain no comma, so the joined key is unique.
     joined.append(service).append(1, ',').append(failureDomain).append(1, ',').append(upstream);
     return joined;
 }
 
-void fillAll(Row &row, const Row &from)
+void fillUnsetColumns(Row &row, const Row &from)
 {
     for (const Column &column : valueColumns()) {
-        column.fill(row, from);
+        column.fillUnset(row, from);
     }
 }
 
@@ -32,7 +32,7 @@
 
 struct Table::Index {
     std::vector<Row> rows;
-    /** Rows with the same three names, laid together. */
+    /** By the key of the three names; rows with the same names are merged. */
     std::unordered_map<std::string, Row> byNames;
     std::set<std::string, std::less<>> services;
 
@@ -42,21 +42,22 @@
 Row Table::Index::lookUp(std::string_view service, std::string_view failureDomain, std::string_view upstream) const
 {
     Row result;
-    const auto lay = [&](std::string_view aService, std::string_view aDomain, std::string_view anUpstream) {
-        const auto found = this->byNames.find(key(aService, aDomain, anUpstream));
-        if (found != this->byNames.end()) {
-            fillAll(result, found->second);
-        }
-    };
-    // Most specific first: the first row that sets a column wins it.
-    lay(service, failureDomain, upstream);
-    lay(Any, failureDomain, upstream);
-    lay(service, Any, upstream);
-    lay(Any, Any, upstream);
-    lay(service, failureDomain, Any);
-    lay(Any, failureDomain, Any);
-    lay(service, Any, Any);
-    lay(Any, Any, Any);
+    const auto fillFrom =
+        [&](std::string_view serviceName, std::string_view domainName, std::string_view upstreamName) {
+            const auto found = this->byNames.find(keyOfNames(serviceName, domainName, upstreamName));
+            if (found != this->byNames.end()) {
+                fillUnsetColumns(result, found->second);
+            }
+        };
+    // In order of precedence: the first row that sets a column decides its value.
+    fillFrom(service, failureDomain, upstream);
+    fillFrom(Any, failureDomain, upstream);
+    fillFrom(service, Any, upstream);
+    fillFrom(Any, Any, upstream);
+    fillFrom(service, failureDomain, Any);
+    fillFrom(Any, failureDomain, Any);
+    fillFrom(service, Any, Any);
+    fillFrom(Any, Any, Any);
     return result;
 }
 
@@ -80,9 +81,9 @@
     index->rows = std::move(rows).value();
     for (const Row &row : index->rows) {
         const auto [entry, inserted] =
-            index->byNames.try_emplace(key(row.service, row.failureDomain, row.upstream), row);
+            index->byNames.try_emplace(keyOfNames(row.service, row.failureDomain, row.upstream), row);
         if (!inserted) {
-            fillAll(entry->second, row);
+            fillUnsetColumns(entry->second, row);
         }
         if (row.service != Any) {
             index->services.insert(row.service);
--- a/src/table/TableReader.h
+++ b/src/table/TableReader.h
@@ -9,8 +9,8 @@
 namespace bergamotweir::table {
 
 /**
- * Reads header and rows and checks each of them.
- * @return rows without ties, or all findings
+ * Parses and checks the header and the rows.
+ * @return the rows, of which no two set the same column for the same names, or the findings (the first MaxFindings)
  */
 Result<std::vector<Row>> readRows(std::string_view csv);
 
--- a/tests/RouteTableTest.cpp
+++ b/tests/RouteTableTest.cpp
@@ -29,7 +29,7 @@
     return route;
 }
 
-wire::RouteTable shop()
+wire::RouteTable shopRoutes()
 {
     wire::RouteTable table;
     table.set_revision(7);
@@ -43,9 +43,9 @@
 
 } // namespace
 
-TEST_CASE("routes: the longest prefix of the host wins, whatever the letters' case")
+TEST_CASE("routes: the longest matching prefix of the host is chosen, regardless of letter case")
 {
-    const table::RouteTable routes(shop());
+    const table::RouteTable routes(shopRoutes());
     REQUIRE(routes.revision() == 7);
     REQUIRE(routes.find("shop.example", "/a/b/c")->prefix == "/a/b/");
     REQUIRE(routes.find("SHOP.example", "/a/bc")->prefix == "/a/");
@@ -58,7 +58,7 @@
 TEST_CASE("routes: services that only the routes name are known to the table")
 {
     const table::Table rows = table::Table::parse("service,keyed\ncatalogue,yes\n").value();
-    const table::Table both = rows.withRoutes(table::RouteTable(shop()));
+    const table::Table both = rows.withRoutes(table::RouteTable(shopRoutes()));
     REQUIRE(both.services() == std::vector<std::string>{"catalogue", "orders", "seats"});
     REQUIRE(both.hasService("orders"));
     REQUIRE(both.service("catalogue").keyed);
@@ -70,7 +70,7 @@
 
 TEST_CASE("routes: all that is wrong with a table is found at once, with its place")
 {
-    wire::RouteTable table = shop();
+    wire::RouteTable table = shopRoutes();
     REQUIRE(table::validateRoutes(table).empty());
     addRoute(table, "/c/", "nobody");
     addRoute(table, "/d/", "orders").mutable_parts(0)->set_weight(0);
@@ -83,7 +83,7 @@
     REQUIRE(findings.front().place == "route /c/");
 }
 
-TEST_CASE("routes: a change of named items leaves the others as they are")
+TEST_CASE("routes: a partial change leaves items that it doesn't name unchanged")
 {
     wire::PutRoutes change;
     change.set_partial(true);
@@ -91,7 +91,7 @@
     addRoute(*change.mutable_table(), "/a/", "seats").set_timeout_ms(500);
     addRoute(*change.mutable_table(), "/new/", "orders");
     change.add_removed_routes("/");
-    const wire::RouteTable after = table::merged(shop(), change);
+    const wire::RouteTable after = table::merged(shopRoutes(), change);
     REQUIRE(after.revision() == 9);
     REQUIRE(after.routes_size() == 3);
     const table::RouteTable routes(after);
@@ -103,10 +103,11 @@
 }
 
 /*
- * An operator adds 1,400 routes, and later changes one of them. Sent whole, each change takes seconds to reach an agent
- * behind a thin link, and callers are told meanwhile that a route which was accepted doesn't exist.
+ * An operator adds 1,400 routes and later changes one of them. If agents were sent the whole table each time, a change
+ * would take seconds over a slow link, and until then callers would get the answer that an accepted route doesn't
+ * exist.
  */
-TEST_CASE("routes: agents get what changed, and joined changes lead to the same table from any point between")
+TEST_CASE("routes: agents get what changed, and joined changes give the same table from any revision between")
 {
     const auto same = [](const wire::RouteTable &left, const wire::RouteTable &right) {
         const table::RouteTable read(left);
@@ -119,7 +120,7 @@
                    && found->parts.front().service == route.parts(0).service();
         });
     };
-    std::vector<wire::RouteTable> tables{shop()};
+    std::vector<wire::RouteTable> tables{shopRoutes()};
     std::vector<wire::PutRoutes> steps;
     unsigned random = 7;
     for (int step = 0; step < 60; ++step) {
@@ -127,19 +128,19 @@
         next.set_revision(next.revision() + 1 + step % 3);
         for (int edit = 0; edit < 3; ++edit) {
             random = random * 1103515245 + 12345;
-            const int place = static_cast<int>((random >> 16U) % 9);
-            const std::string prefix = "/p" + std::to_string(place) + "/";
+            const int index = static_cast<int>((random >> 16U) % 9);
+            const std::string prefix = "/p" + std::to_string(index) + "/";
             auto &routes = *next.mutable_routes();
-            const auto known = std::find_if(routes.begin(), routes.end(), [&](const wire::Route &route) {
+            const auto existing = std::find_if(routes.begin(), routes.end(), [&](const wire::Route &route) {
                 return route.prefix() == prefix;
             });
-            if (known == routes.end()) {
+            if (existing == routes.end()) {
                 addRoute(next, prefix, "orders").set_source("text");
             } else if (edit == 1) {
-                routes.erase(known);
+                routes.erase(existing);
             } else {
-                known->set_timeout_ms(100 + step);
-                known->mutable_parts(0)->set_service(step % 2 == 0 ? "seats" : "orders");
+                existing->set_timeout_ms(100 + step);
+                existing->mutable_parts(0)->set_service(step % 2 == 0 ? "seats" : "orders");
             }
         }
         steps.push_back(table::difference(tables.back(), next));
--- a/tests/TablePropertyTest.cpp
+++ b/tests/TablePropertyTest.cpp
@@ -13,7 +13,7 @@
 constexpr std::uint64_t Seed = 20261202;
 constexpr int Runs = 2000;
 
-/** A column of the generator: its name and cells that it may hold. */
+/** A column of the generator: its name and the cells to choose from. */
 struct Choice {
     const char *column;
     std::vector<std::string> cells;
@@ -35,8 +35,8 @@
     return all;
 }
 
-/** A table with columns in any order, most cells good, some bad. */
-std::string anyTable()
+/** Generates a table with columns in any order, most cells valid, some invalid. */
+std::string arbitraryTable()
 {
     std::vector<Choice> columns = choices();
     for (std::size_t i = columns.size() - 1; i > 0; --i) {
@@ -50,39 +50,39 @@
     for (int row = *rc::gen::inRange(0, 4); row > 0; --row) {
         std::string line;
         for (const Choice &choice : columns) {
-            const bool isFirstChoice = *rc::gen::inRange(0, 3) > 0 && choice.cells.front().empty();
+            const bool isEmptyCell = *rc::gen::inRange(0, 3) > 0 && choice.cells.front().empty();
             line += (line.empty() ? "" : ",")
-                    + (isFirstChoice ? std::string() : "\"" + *rc::gen::elementOf(choice.cells) + "\"");
+                    + (isEmptyCell ? std::string() : "\"" + *rc::gen::elementOf(choice.cells) + "\"");
         }
         csv += line + "\n";
     }
     return csv;
 }
 
-/** The same text with a few bytes replaced, removed or doubled. */
-std::string damaged(std::string text)
+/** Replaces, removes or inserts a few bytes of a text. */
+std::string corrupted(std::string text)
 {
     using namespace std::string_view_literals;
     constexpr std::string_view Bytes = "\",\n\r#*\0\xff 9"sv;
     for (int count = *rc::gen::inRange(1, 6); count > 0 && !text.empty(); --count) {
-        const auto place = *rc::gen::inRange<std::size_t>(0, text.size());
+        const auto position = *rc::gen::inRange<std::size_t>(0, text.size());
         const char byte = Bytes[*rc::gen::inRange<std::size_t>(0, Bytes.size())];
         switch (*rc::gen::inRange(0, 3)) {
         case 0:
-            text[place] = byte;
+            text[position] = byte;
             break;
         case 1:
-            text.erase(place, 1);
+            text.erase(position, 1);
             break;
         default:
-            text.insert(place, 1, byte);
+            text.insert(position, 1, byte);
         }
     }
     return text;
 }
 
-/** The rows without their place in the file. */
-std::vector<Row> unnumbered(const Table &table)
+/** Returns the rows with their line numbers set to 0. */
+std::vector<Row> rowsWithoutNumbers(const Table &table)
 {
     std::vector<Row> rows = table.rows();
     for (Row &row : rows) {
@@ -91,7 +91,7 @@
     return rows;
 }
 
-void checkReading(const std::string &csv)
+void checkParse(const std::string &csv)
 {
     const Result<Table> table = Table::parse(csv);
     if (!table) {
@@ -107,30 +107,30 @@
     RC_ASSERT(again.has_value());
     RC_ASSERT(again.value().toCsv() == written);
     RC_ASSERT(differences(table.value(), again.value()).empty());
-    RC_ASSERT(unnumbered(again.value()) == unnumbered(table.value()));
+    RC_ASSERT(rowsWithoutNumbers(again.value()) == rowsWithoutNumbers(table.value()));
 }
 
 } // namespace
 
-TEST_CASE("any table is either read and written back as it was, or refused with findings")
+TEST_CASE("any table is either parsed and written back unchanged, or rejected with findings")
 {
-    unsigned good = 0;
+    unsigned accepted = 0;
     test::checkProperty(Seed, Runs, [&] {
-        const std::string csv = anyTable();
-        good += Table::parse(csv).has_value() ? 1 : 0;
-        checkReading(csv);
+        const std::string csv = arbitraryTable();
+        accepted += Table::parse(csv).has_value() ? 1 : 0;
+        checkParse(csv);
     });
-    // The generator must reach both sides.
-    CHECK(good > Runs / 10);
-    CHECK(good < Runs * 9 / 10);
+    // The generator must produce both accepted and rejected tables.
+    CHECK(accepted > Runs / 10);
+    CHECK(accepted < Runs * 9 / 10);
 }
 
-TEST_CASE("damaged tables and arbitrary bytes never stop the process")
+TEST_CASE("corrupted tables and arbitrary bytes never crash the parser")
 {
     test::checkProperty(Seed + 1, Runs, [] {
-        checkReading(damaged(anyTable()));
+        checkParse(corrupted(arbitraryTable()));
     });
     test::checkProperty(Seed + 2, Runs, [] {
-        checkReading(*rc::gen::arbitrary<std::string>());
+        checkParse(*rc::gen::arbitrary<std::string>());
     });
 }
--- a/tests/TableTest.cpp
+++ b/tests/TableTest.cpp
@@ -21,7 +21,7 @@
 
 } // namespace
 
-TEST_CASE("the most specific row wins, for each column on its own")
+TEST_CASE("the most specific row takes precedence, separately for each column")
 {
     const Table table = Table::parse(Example).value();
     CHECK(table.services() == std::vector<std::string>{"catalogue"});
@@ -34,7 +34,7 @@
     CHECK(Table::parse(table.toCsv()).value().toCsv() == table.toCsv());
 }
 
-TEST_CASE("all findings of a table come together, each with its row and column")
+TEST_CASE("parsing a table reports all findings at once, each with its row and column")
 {
     const Result<Table> table = Table::parse("service,failure_domain,wieght,limit,timeout_ms\n"
                                              "cat alogue,*,1,-3,5\n"
@@ -60,7 +60,7 @@
              "the two rows\n");
 }
 
-TEST_CASE("two tables are compared by meaning")
+TEST_CASE("two tables are compared by content")
 {
     const Table before = Table::parse("service,weight,limit\nfees,1,\npay,2,3\n").value();
     const Table same = Table::parse("limit,service,weight\n# moved\n3,pay,2\n,fees,1\n").value();
@@ -72,10 +72,10 @@
     CHECK(toText(found[1]) == "pay,*,*: weight 2 -> not set; limit 3 -> not set");
 }
 
-TEST_CASE("a change that takes out the last upstream of a service is warned of, once")
+TEST_CASE("a warning is given for a change that takes out the last upstream of a service, and only for that change")
 {
-    // An operator marks bne-b out while bne-a is already out: every enrolment would be refused, and the table alone
-    // doesn't show it.
+    // An operator marks failure domain bne-b out while bne-a is already out: every request of the service would be
+    // refused, which the table alone doesn't show.
     const Table table = Table::parse("service,weight\nfees,1\npay,1\n").value();
     const std::vector<KnownUpstream> known{{"fees", "bne-a", "f1"}, {"fees", "bne-b", "f2"}, {"pay", "gc-a", "p1"}};
     const Marks oneOut{.failureDomainsOut = {"bne-a"}, .upstreamsOut = {}};
