--- a/src/report/Metric.cpp
+++ b/src/report/Metric.cpp
@@ -83,7 +83,7 @@
 Metric latencies(const BurnReport &report)
 {
     Metric metric{"bergamotweir_answer_seconds",
-                  "Time from the request to the end of its answer over the last minutes; the quantiles are estimates.",
+                  "Time from the request to the whole answer over the last minutes; the quantiles are estimates.",
                   MetricType::Gauge,
                   {}};
     for (const ServiceReport &service : report.services) {
--- a/src/table/RouteTable.cpp
+++ b/src/table/RouteTable.cpp
@@ -177,9 +177,9 @@
 template<typename Items, typename Names>
 void removeNamed(Items &from, const Names &names)
 {
-    const std::set<std::string> removed(names.begin(), names.end());
+    const std::set<std::string> removedNames(names.begin(), names.end());
     const auto end = std::remove_if(from.begin(), from.end(), [&](const auto &item) {
-        return removed.contains(item.name());
+        return removedNames.contains(item.name());
     });
     from.erase(end, from.end());
 }
@@ -362,20 +362,20 @@
 
 wire::RouteTable withoutSources(const wire::RouteTable &routes)
 {
-    wire::RouteTable result = routes;
-    for (wire::Route &route : *result.mutable_routes()) {
+    wire::RouteTable stripped = routes;
+    for (wire::Route &route : *stripped.mutable_routes()) {
         route.clear_source();
     }
-    for (wire::RoutedService &service : *result.mutable_services()) {
+    for (wire::RoutedService &service : *stripped.mutable_services()) {
         service.clear_source();
     }
-    for (wire::Workspace &workspace : *result.mutable_workspaces()) {
+    for (wire::Workspace &workspace : *stripped.mutable_workspaces()) {
         workspace.clear_source();
     }
-    if (result.has_limits()) {
-        result.mutable_limits()->clear_source();
+    if (stripped.has_limits()) {
+        stripped.mutable_limits()->clear_source();
     }
-    return result;
+    return stripped;
 }
 
 wire::PutRoutes difference(const wire::RouteTable &from, const wire::RouteTable &to)
--- a/tests/BackoffTest.cpp
+++ b/tests/BackoffTest.cpp
@@ -5,7 +5,7 @@
 using namespace bergamotweir;
 using namespace std::chrono_literals;
 
-TEST_CASE("backoff: delays double up to their maximum, with jitter over the upper half")
+TEST_CASE("backoff: delays double up to their maximum, each time with jitter over the upper half")
 {
     const BackoffSettings settings{.first = 20ms, .max = 100ms};
     pcg32 random(7);
--- a/tests/BurnReportTest.cpp
+++ b/tests/BurnReportTest.cpp
@@ -116,7 +116,7 @@
     CHECK(statistics.summary(now + 2 * LatencyStatistics::Period).count == 0);
 }
 
-TEST_CASE("burn reports are read back and merged, and malformed ones are rejected")
+TEST_CASE("burn reports of agents are read back and merged, and malformed ones are refused")
 {
     BurnState state = feesState();
     record(state, feesRequest(Outcome::Failed), Start);
--- a/tests/OperatorInputPropertyTest.cpp
+++ b/tests/OperatorInputPropertyTest.cpp
@@ -58,7 +58,7 @@
 
 } // namespace
 
-TEST_CASE("any command line is either accepted or rejected with the place of each finding")
+TEST_CASE("any command line is either accepted or refused with the place of each finding")
 {
     test::checkProperty(Seed, Runs, [] {
         const auto index = *rc::gen::inRange<std::size_t>(0, cli::allCommands().size());
@@ -86,7 +86,7 @@
     });
 }
 
-TEST_CASE("any list of replicas is either rejected, or gives each replica an id and two addresses of its own")
+TEST_CASE("any list of replicas is either refused, or gives each replica an id and two addresses of its own")
 {
     test::checkProperty(Seed + 1, Runs, [] {
         std::string text = "c1=127.0.0.1:7101/7001,c2=127.0.0.1:7102/7002";
@@ -106,7 +106,7 @@
     });
 }
 
-TEST_CASE("a corrupted burn report is either rejected or read, and never crashes the command")
+TEST_CASE("a corrupted burn report is either refused or read, and never crashes the command")
 {
     const std::string valid = validReport();
     unsigned accepted = 0;
--- a/tests/TablePropertyTest.cpp
+++ b/tests/TablePropertyTest.cpp
@@ -112,7 +112,7 @@
 
 } // namespace
 
-TEST_CASE("any table is either parsed and written back unchanged, or rejected with findings")
+TEST_CASE("any table is either parsed and written back unchanged, or refused with findings")
 {
     unsigned accepted = 0;
     test::checkProperty(Seed, Runs, [&] {
@@ -125,7 +125,7 @@
     CHECK(accepted < Runs * 9 / 10);
 }
 
-TEST_CASE("corrupted tables and arbitrary bytes never crash the parser")
+TEST_CASE("corrupted tables and arbitrary bytes never crash the process")
 {
     test::checkProperty(Seed + 1, Runs, [] {
         checkParse(corrupted(arbitraryTable()));
