--- a/include/report/BucketRing.h
+++ b/include/report/BucketRing.h
@@ -21,8 +21,9 @@
     /** Adds counts at a time point, which must not go back by more than the length of the ring. */
     void add(const Counts &counts, BootTime now);
 
-    /** @return the counts added in the window that ends now: whole buckets and the current one, at most the ring's
-     * length
+    /**
+     * @return the counts added in the window that ends now: whole buckets and the current one, at most the length of
+     *         the ring
      */
     Counts sum(std::chrono::seconds window, BootTime now) const;
 
--- a/include/report/BurnReport.h
+++ b/include/report/BurnReport.h
@@ -25,11 +25,9 @@
     SlowLong,
 };
 
-/**
- * Burn rate that raises an alarm when both windows of the pair reach it: the budget of 30 days would be used up in 2 or
- * 5 days.
- */
+/** Burn rate that raises the fast alarm when both its windows reach it; it uses up the budget of 30 days in 2 days. */
 inline constexpr double FastBurnRate = 14.4;
+/** Burn rate that raises the slow alarm when both its windows reach it; it uses up the budget of 30 days in 5 days. */
 inline constexpr double SlowBurnRate = 6;
 
 /** The part of a service's error budget that one upstream burned. */
@@ -46,7 +44,7 @@
     table::ServicePolicy objectives;
     std::array<Counts, Windows.size()> windows{};
     Counts sinceStart;
-    /** For several agents: the worst value of each field, except that counts are added and the mean is weighted. */
+    /** For several agents: the sum of the counts, the mean of all answers, and otherwise the highest value. */
     LatencySummary latency;
     /** Sorted by the requests counted in the last six hours, most first. */
     std::vector<BlameReport> blames;
--- a/include/report/BurnState.h
+++ b/include/report/BurnState.h
@@ -22,7 +22,7 @@
 
 /** Outcome of a request as its caller saw it. */
 enum class Outcome {
-    /** The whole answer of an upstream was sent, and it was no server error. */
+    /** An upstream gave a whole answer that is no server error. */
     Answered,
     /** The system refused it. A planned drain that the caller doesn't notice counts no refusal. */
     Refused,
@@ -32,7 +32,9 @@
     CallerFault,
 };
 
-/** A request completed by the agent that received it from its caller; an agent that it was forwarded to records none.
+/**
+ * A completed request. Recorded only by the agent that received it from its caller, not by agents that it was forwarded
+ * to.
  */
 struct CompletedRequest {
     std::string_view service;
--- a/src/report/Metric.cpp
+++ b/src/report/Metric.cpp
@@ -62,11 +62,11 @@
 
 Metric requestCounts(const BurnReport &report)
 {
-    Metric metric{
-        "bergamotweir_requests_total",
-        "Requests that this agent received from callers, by outcome; late requests are counted as answered too.",
-        MetricType::Counter,
-        {}};
+    Metric metric{"bergamotweir_requests_total",
+                  "Requests that this agent received from callers, by outcome (label end); late requests are counted "
+                  "as answered too.",
+                  MetricType::Counter,
+                  {}};
     for (const ServiceReport &service : report.services) {
         const Counts &counts = service.sinceStart;
         const auto add = [&](const char *outcome, std::uint64_t count) {
