--- a/tests/PlatformGrantsTest.cpp
+++ b/tests/PlatformGrantsTest.cpp
@@ -28,7 +28,7 @@
     return worker;
 }
 
-agent::OrderOutcome endOf(int status, std::vector<net::Header> headers = {}, std::string body = {})
+agent::OrderOutcome outcomeOf(int status, std::vector<net::Header> headers = {}, std::string body = {})
 {
     net::CallResult result;
     result.outcome = net::CallOutcome::Answered;
@@ -38,7 +38,7 @@
 
 } // namespace
 
-TEST_CASE("platform: grants and releases name the keys, the epoch, the time and the process that they are meant for")
+TEST_CASE("platform: grants and releases carry the keys, the epoch, the duration and the process id")
 {
     const net::HttpCall grant = platform::orderCall(worker(), order(agent::OrderKind::Grant));
     CHECK(grant.address == "10.0.0.9:80");
@@ -54,19 +54,19 @@
 }
 
 /*
- * An upstream answers an order with what nobody expects: other statuses, endless handovers, an answer cut short. Taken
- * for a release that was carried out, two upstreams would hold the keys; only a plain 200 says so.
+ * An upstream answers an order with an unexpected status, an oversized handover or a truncated answer. If such an
+ * answer counted as a completed release, two upstreams would hold the keys, so only a complete 200 does.
  */
-TEST_CASE("platform: only a plain success says that an order was carried out")
+TEST_CASE("platform: only status 200 confirms that an order was carried out")
 {
     using agent::OrderOutcome;
-    CHECK(endOf(200) == OrderOutcome::Done);
-    CHECK(endOf(200, {}, "no JSON at all") == OrderOutcome::Done);
-    CHECK(endOf(409) == OrderOutcome::Outdated);
-    CHECK(endOf(400) == OrderOutcome::NotReceived);
-    CHECK(endOf(421) == OrderOutcome::NotReceived);
+    CHECK(outcomeOf(200) == OrderOutcome::Done);
+    CHECK(outcomeOf(200, {}, "no JSON at all") == OrderOutcome::Done);
+    CHECK(outcomeOf(409) == OrderOutcome::Outdated);
+    CHECK(outcomeOf(400) == OrderOutcome::NotReceived);
+    CHECK(outcomeOf(421) == OrderOutcome::NotReceived);
     for (const int status : {201, 204, 301, 404, 429, 500, 502, 503, 504}) {
-        CHECK(endOf(status) == OrderOutcome::Unknown);
+        CHECK(outcomeOf(status) == OrderOutcome::Unknown);
     }
     for (const net::CallOutcome outcome : {net::CallOutcome::ConnectionLost,
                                            net::CallOutcome::TruncatedAnswer,
@@ -82,7 +82,7 @@
     CHECK(platform::readOrderAnswer({}).outcome == OrderOutcome::NotReceived);
 }
 
-TEST_CASE("platform: a handover is passed on as it came, and one of any length is left out")
+TEST_CASE("platform: a handover is passed on unchanged, and an oversized one is dropped")
 {
     net::CallResult result;
     result.outcome = net::CallOutcome::Answered;
--- a/tests/PlatformProcessTest.cpp
+++ b/tests/PlatformProcessTest.cpp
@@ -19,7 +19,7 @@
 
 constexpr const char *OrderPort = ":8620";
 
-/** The real programs with settings files of the users' machines, each VM at a loopback address of its own. */
+/** Runs the real programs with settings files of the users' machines, each VM at its own loopback address. */
 struct Machines {
     std::string net = "127." + std::to_string(20 + getpid() % 200) + "." + std::to_string(getpid() / 200 % 250) + ".";
     std::string folder = std::string(TEST_BINARY_FOLDER) + "/machines-" + std::to_string(getpid());
@@ -100,7 +100,7 @@
                 name + ".log"};
     }
 
-    /** Sends an order to a control VM, and on to the leader where it's told to. */
+    /** Sends an order to a control VM and follows a redirect to the leader. */
     Reply order(int number, const std::string &method, const std::string &path, const std::string &body = {}) const
     {
         const Ask ask{.method = method, .path = path, .headers = {"Content-Type: application/json"}, .body = body};
@@ -151,8 +151,9 @@
 
 } // namespace
 
-// The whole path with the settings files, heartbeats, manifests and header fields of the users' machines.
-TEST_CASE("platform process: a manifest comes into force, every key has one owner, and a killed agent's keys return",
+// Runs the complete path with the settings files, heartbeats, manifests and header fields of the users' machines.
+TEST_CASE("platform process: a manifest comes into force, every key has one owner, and keys of a killed agent are "
+          "served again",
           "[process]")
 {
     Machines machines;
@@ -168,7 +169,7 @@
     REQUIRE(machines.served(11, 0));
     REQUIRE(Deployment::askAt(machines.ip(11) + ":8625", {.path = "/api/readiness"}).status == 200);
 
-    // The one that was there first got all keys; the load is evened out once both are settled.
+    // The first upstream got all keys; they are rebalanced after the delay for both to settle.
     REQUIRE(Deployment::eventually(10s, [&] {
         return keysHeld(*machines.workers[0]) > 20000 && keysHeld(*machines.workers[1]) > 20000;
     }));
@@ -192,18 +193,18 @@
 
     Deployment::kill(machines.agents[0]);
     Deployment::start(machines.agents[0]);
-    const auto begun = std::chrono::steady_clock::now();
+    const auto startedAt = std::chrono::steady_clock::now();
     for (unsigned key = 0; key < 65536; key += 16001) {
         REQUIRE(machines.served(12, key));
     }
-    REQUIRE(std::chrono::steady_clock::now() - begun < 3s);
+    REQUIRE(std::chrono::steady_clock::now() - startedAt < 3s);
     Deployment::signal(machines.agents[0], SIGTERM);
     REQUIRE(Deployment::waitForExit(machines.agents[0], 3s) == 0);
 }
 
 /*
- * Upstreams get their keys by calls. Callers would see two upstreams change the same key, or keys that nobody serves:
- * keys move while the load is evened out, and an agent is killed while its upstream goes on with what it was granted.
+ * Keys are granted to upstreams by calls. Guards against two holders of a key and against unserved keys: keys move
+ * during rebalancing, and an agent is killed while its upstream still holds its grants.
  */
 TEST_CASE("platform process: keys granted by calls are served, moved and held by one upstream at a time", "[process]")
 {
@@ -226,12 +227,12 @@
     Deployment::kill(machines.agents[0]);
     checkHolders();
     Deployment::start(machines.agents[0]);
-    const auto begun = std::chrono::steady_clock::now();
+    const auto startedAt = std::chrono::steady_clock::now();
     for (unsigned key = 0; key < 65536; key += 3001) {
         REQUIRE(machines.served(12, key));
         checkHolders();
     }
-    REQUIRE(std::chrono::steady_clock::now() - begun < 5s);
+    REQUIRE(std::chrono::steady_clock::now() - startedAt < 5s);
     const std::string body(300000, 'u');
     const Reply reply = Deployment::askAt(
         machines.ip(11) + ":8629",
@@ -243,8 +244,8 @@
     REQUIRE(reply.body.find(body) != std::string::npos);
 }
 
-// A control VM comes back at its old address without its disk. Nobody adds it by hand.
-TEST_CASE("platform process: a control VM that lost its disk joins its group again by itself", "[process]")
+// A control VM restarts at the same address with an empty disk and must rejoin without "member add".
+TEST_CASE("platform process: a control VM that lost its disk rejoins its group automatically", "[process]")
 {
     Machines machines;
     REQUIRE(Deployment::eventually(10s, [&] {
@@ -258,7 +259,7 @@
     REQUIRE(Deployment::eventually(10s, [&] {
         return machines.order(2, "GET", "/api/config").status == 200;
     }));
-    // With another one of the three gone, the group works only if the newcomer votes.
+    // With another one of the three VMs stopped, the group has a quorum only if the rejoined one votes.
     REQUIRE(Deployment::eventually(10s, [&] {
         std::ifstream log(machines.folder + "/control1.log");
         std::ifstream other(machines.folder + "/control3.log");
@@ -275,14 +276,14 @@
 
 namespace {
 
-/** Two workspaces on top of manifest(). */
+/** @return manifest() with two workspaces */
 std::string workspaceManifest(const std::string &version, const std::string &base, const json &northKeys)
 {
-    json whole = json::parse(manifest(version, base));
-    whole["tenants"]["columns"] = json::array({"name", "api_keys"});
-    whole["tenants"]["rows"] =
+    json fullManifest = json::parse(manifest(version, base));
+    fullManifest["tenants"]["columns"] = json::array({"name", "api_keys"});
+    fullManifest["tenants"]["rows"] =
         json::array({json::array({"north", northKeys}), json::array({"south", json::array({"secret-south-1"})})});
-    return whole.dump();
+    return fullManifest.dump();
 }
 
 int statusFor(const Machines &machines, int number, const std::string &key)
@@ -300,7 +301,7 @@
 
 } // namespace
 
-// Guards against callers' keys that show in logs, metrics, reports or in what upstreams and agents are told.
+// Guards against callers' keys in logs, metrics and reports, and in data sent to upstreams and agents.
 TEST_CASE("platform process: keys are taken away everywhere, and no key shows in any output", "[process]")
 {
     Machines machines;
@@ -351,12 +352,12 @@
     REQUIRE(output.find("secret-") == std::string::npos);
 }
 
-// Guards against a limit that each agent applies by itself, so that a workspace gets it once for each agent.
-TEST_CASE("platform process: two agents together let through a workspace's limit and refuse the rest", "[process]")
+// Guards against a limit that each agent applies separately, which would allow a workspace the limit once per agent.
+TEST_CASE("platform process: two agents together admit a workspace's limit and refuse the rest", "[process]")
 {
     constexpr double Rate = 20;
     constexpr double Burst = 10;
-    /** Seconds; the standard bounds of limits, which the settings files leave as they are. */
+    /** In seconds; the default window of limits, which the settings files do not change. */
     constexpr double Window = 5;
     Machines machines;
     json limited = json::parse(workspaceManifest("3", "0", json::array({"secret-north-1"})));
@@ -371,10 +372,10 @@
             return statusFor(machines, number, "secret-north-1") == 200;
         }));
     }
-    const auto begun = std::chrono::steady_clock::now();
+    const auto startedAt = std::chrono::steady_clock::now();
     unsigned served = 0;
     unsigned refused = 0;
-    while (std::chrono::steady_clock::now() - begun < 4s) {
+    while (std::chrono::steady_clock::now() - startedAt < 4s) {
         const int status = statusFor(machines, 11 + static_cast<int>((served + refused) % 2), "secret-north-1");
         served += status == 200 ? 1 : 0;
         refused += status == 429 ? 1 : 0;
--- a/tests/PlatformTest.cpp
+++ b/tests/PlatformTest.cpp
@@ -58,7 +58,7 @@
     return request("PUT", "/api/instances/i-1", {}, body);
 }
 
-const char *const Beat =
+const char *const HeartbeatBody =
     R"({"address":"10.0.0.9:80","born":1790000000123,"info":{"service":"s1","version":"v1","zone":"z","slots":6},)"
     R"("status":{"state":"ready","seq":4,"warmup_left_ms":250},"holds":[[0,4095,7]],"freed":[[5000,5001,"abc"]]})";
 
@@ -70,7 +70,7 @@
 
 } // namespace
 
-TEST_CASE("platform: a manifest is read with all its fields and read back as it was written")
+TEST_CASE("platform: a manifest is read with all its fields and written back unchanged")
 {
     const wire::PutRoutes change = platform::readManifest(ManifestText, false).value();
     REQUIRE(change.base_revision() == 5);
@@ -92,7 +92,7 @@
     REQUIRE(json::parse(platform::writeManifest(change.table())) == written);
 }
 
-TEST_CASE("platform: uploads are a kind of their own, and run at most once")
+TEST_CASE("platform: uploads are a separate route kind and are not retried")
 {
     std::string text = ManifestText;
     text.replace(text.find("\"non_idempotent\""), std::string("\"non_idempotent\"").size(), "\"upload\"");
@@ -106,7 +106,7 @@
     REQUIRE(platform::readManifest(text, false).error().front().place == "route r2");
 }
 
-TEST_CASE("platform: a service says whether its upstreams get their keys by calls or with their heartbeats")
+TEST_CASE("platform: a service states whether keys are granted by calls or in heartbeats")
 {
     const auto manifestWith = [](const std::string &grants) {
         return R"({"version":"1","base_version":"0","routes":{"columns":[],"rows":[]},)"
@@ -124,7 +124,7 @@
     REQUIRE_FALSE(platform::readManifest(manifestWith("7"), false));
 }
 
-TEST_CASE("platform: a change of named items is read, and two texts never count as one change")
+TEST_CASE("platform: a change of named items is read, and different texts have different content hashes")
 {
     const std::string text =
         R"({"version":"0000000b","base_version":"0000000a","upsert":{"routes":{"columns":["name","host","prefix",)"
@@ -138,7 +138,7 @@
     REQUIRE(change.content_hash() != platform::readManifest(ManifestText, false).value().content_hash());
 }
 
-TEST_CASE("platform: manifests that can't be read are refused with the place of the fault")
+TEST_CASE("platform: unreadable manifests are refused with the place of the fault")
 {
     const std::string whole = ManifestText;
     REQUIRE_FALSE(platform::readManifest(whole.substr(0, whole.size() / 2), false));
@@ -157,7 +157,7 @@
     REQUIRE(wrongType.error().front().place == "timeout_ms");
 }
 
-TEST_CASE("platform: operators' calls become orders, and replies become the statuses that callers go by")
+TEST_CASE("platform: operators' calls are translated to requests, and replies to HTTP statuses")
 {
     const process::OperatorProtocol &protocol = platform::operatorProtocol();
     const auto put = std::get<wire::OperatorRequest>(protocol.read(request("PUT", "/api/config", {}, ManifestText)));
@@ -186,9 +186,9 @@
     REQUIRE(protocol.redirect(request("GET", "/api/config", {}), "").status == 503);
 }
 
-TEST_CASE("platform: heartbeats are read with what the worker holds and has given up")
+TEST_CASE("platform: heartbeats are read with the held and the released keys")
 {
-    const process::Heartbeat read = platform::readHeartbeat(heartbeat(Beat)).value();
+    const process::Heartbeat read = platform::readHeartbeat(heartbeat(HeartbeatBody)).value();
     REQUIRE(read.announcement.service == "s1");
     REQUIRE(read.announcement.address == "10.0.0.9:80");
     REQUIRE(read.announcement.instance == "i-1");
@@ -206,29 +206,29 @@
     REQUIRE(deregistration.isDraining);
 }
 
-TEST_CASE("platform: heartbeats of other writers name nobody, and all that is wrong with them is told")
+TEST_CASE("platform: malformed heartbeats are refused with a finding for each fault")
 {
     REQUIRE_FALSE(platform::readHeartbeat(heartbeat("{")));
     REQUIRE_FALSE(platform::readHeartbeat(heartbeat("[1]")));
     REQUIRE_FALSE(platform::readHeartbeat(heartbeat("\xff\xfe")));
-    REQUIRE_FALSE(platform::readHeartbeat(request("PUT", "/api/instances/", {}, Beat)));
+    REQUIRE_FALSE(platform::readHeartbeat(request("PUT", "/api/instances/", {}, HeartbeatBody)));
     REQUIRE_FALSE(platform::readHeartbeat(request("GET", "/api/instances/i-1", {})));
-    json body = json::parse(Beat);
+    json body = json::parse(HeartbeatBody);
     body["status"]["state"] = "resting";
     REQUIRE_FALSE(platform::readHeartbeat(heartbeat(body.dump())));
-    body = json::parse(Beat);
+    body = json::parse(HeartbeatBody);
     body["info"]["slots"] = "6";
     body["status"]["seq"] = -1;
     body.erase("address");
     REQUIRE(platform::readHeartbeat(heartbeat(body.dump())).error().size() >= 3);
-    body = json::parse(Beat);
+    body = json::parse(HeartbeatBody);
     body["holds"] = {{5, 4, 1}};
     REQUIRE_FALSE(platform::readHeartbeat(heartbeat(body.dump())));
     body["holds"] = {{0, 70000, 1}};
     REQUIRE_FALSE(platform::readHeartbeat(heartbeat(body.dump())));
 }
 
-TEST_CASE("platform: an answer without grants renews nothing, one with grants tells rows and time")
+TEST_CASE("platform: an answer without grants is empty, one with grants has rows and duration")
 {
     REQUIRE(platform::answerHeartbeat({}).body == "{}");
     process::HeartbeatAnswer answer;
@@ -238,7 +238,7 @@
             == json::parse(R"({"hold_ms":2500,"holds":[[0,99,12,"abc"]]})"));
 }
 
-TEST_CASE("platform: a caller's request gets its route, its key and the shorter of two times")
+TEST_CASE("platform: a caller's request gets its route, its key and the shorter of two time-outs")
 {
     const net::HttpRequest keyed =
         request("GET",
@@ -261,7 +261,8 @@
     REQUIRE_FALSE(agent::canRetry(parsed.facts));
 }
 
-TEST_CASE("platform: requests that can't be routed are told why; without routes nobody is told that there are none")
+TEST_CASE(
+    "platform: requests that can't be routed are refused with 400 or 404, and with 503 before any routes are known")
 {
     REQUIRE(refusedWith(request("GET", "/p/x", {{"Host", "a.example"}})) == 400);
     REQUIRE(refusedWith(request("GET", "/none", {{"Host", "a.example"}, {"X-Request-Id", "id"}})) == 404);
@@ -269,7 +270,7 @@
     REQUIRE(refusedWith(request("GET", "/p/", {{"Host", "z.example"}, {"X-Request-Id", "id"}}), table::Table()) == 503);
 }
 
-TEST_CASE("platform: fields that the system sets are never taken from a caller")
+TEST_CASE("platform: fields that the system sets are not accepted from a caller")
 {
     const auto headers = platform::agentProtocol().headersToForward(request("GET",
                                                                             "/",
@@ -315,7 +316,7 @@
     REQUIRE(readResult(200, {signedBy, {"X-Not-Executed", "1"}}).mayHaveRun);
 }
 
-TEST_CASE("platform: a refusal promises that the request didn't run only where that is sure")
+TEST_CASE("platform: a refusal promises that the request didn't run only if that is certain")
 {
     pcg32 random(1);
     const auto status = [&](agent::RefusalDetails facts) {
@@ -334,7 +335,7 @@
     REQUIRE(seconds < 1);
 }
 
-TEST_CASE("platform: settings of an agent are translated, unknown ones left out")
+TEST_CASE("platform: settings of an agent are translated, unknown ones ignored")
 {
     const process::AgentSettings settings = platform::readAgentSettings(AgentFile).value();
     REQUIRE(settings.agentName == "n1");
@@ -349,7 +350,7 @@
     REQUIRE(settings.maxStopTime == 4000ms);
 }
 
-TEST_CASE("platform: settings of a control replica name the group's seeds and the voters that losses call for")
+TEST_CASE("platform: settings of a control replica give the seeds and the number of voters")
 {
     const std::string text = "node_id=c1\nip=10.1.0.46\nlisten.control=10.1.0.46:8620\ninternal_ports=7600,7615\n"
                              "seeds=10.1.0.46:8620,10.2.0.28:8620\nbootstrap=true\ndata_dir=/data/x\n"
@@ -363,7 +364,7 @@
     REQUIRE(settings.dataFolder == "/data/x");
 }
 
-TEST_CASE("platform: all that is missing or malformed in a settings file is told together")
+TEST_CASE("platform: all missing and malformed settings are reported together")
 {
     const auto empty = platform::readAgentSettings("");
     REQUIRE(empty.error().size() >= 8);
@@ -379,7 +380,7 @@
 
 namespace {
 
-/** Two workspaces, one of them with a priority and a limit; r2 also serves callers without a key. */
+/** Manifest with two workspaces, one of them with a priority and a limit; r2 also serves callers without a key. */
 std::string workspaceManifest()
 {
     json manifest = json::parse(ManifestText);
@@ -416,7 +417,7 @@
 
 } // namespace
 
-TEST_CASE("platform: workspaces are read with all their fields and read back as they were written")
+TEST_CASE("platform: workspaces are read with all their fields and written back unchanged")
 {
     const std::string text = workspaceManifest();
     const wire::PutRoutes change = platform::readManifest(text, false).value();
@@ -435,7 +436,7 @@
     REQUIRE_FALSE(platform::readManifest(ManifestText, false).value().table().has_callers_need_keys());
 }
 
-TEST_CASE("platform: unreadable workspaces are refused with their name and without their keys")
+TEST_CASE("platform: findings about unreadable workspaces contain their name and no keys")
 {
     const auto findingOf = [](const std::string &row) {
         json manifest = json::parse(workspaceManifest());
@@ -456,7 +457,7 @@
     REQUIRE_FALSE(platform::readManifest(shortRow.dump(), false));
 }
 
-TEST_CASE("platform: a caller is known by its key, whatever the letter case of field and scheme")
+TEST_CASE("platform: a caller is identified by its key; header field and scheme are case-insensitive")
 {
     for (const char *credentials : {"Token key-n1", "token key-n2", "TOKEN  key-n1"}) {
         const process::ParsedRequest parsed = identified(credentials);
@@ -513,7 +514,7 @@
     REQUIRE(net::findHeader(without.headers, "X-Tenant-Id") == nullptr);
 }
 
-TEST_CASE("platform: where no keys are needed, callers' credentials are passed on")
+TEST_CASE("platform: without required keys callers' credentials are forwarded")
 {
     const net::HttpRequest received = callOf("a.example", "/p/x", {{"Authorization", "Token key-s"}});
     const auto parsed = std::get<process::ParsedRequest>(readCaller(received));
--- a/tests/PlatformWorker.cpp
+++ b/tests/PlatformWorker.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr auto BeatInterval = 150ms;
+constexpr auto HeartbeatInterval = 150ms;
 
 std::string valueOf(const net::HttpRequest &request, const char *name)
 {
@@ -27,7 +27,7 @@
     , loop(loop::EventLoop::create().value())
 {
     const auto now = std::chrono::system_clock::now().time_since_epoch();
-    this->born = static_cast<std::uint64_t>(std::chrono::duration_cast<std::chrono::milliseconds>(now).count());
+    this->startedAtMs = static_cast<std::uint64_t>(std::chrono::duration_cast<std::chrono::milliseconds>(now).count());
     auto http = net::HttpServerSettingsBuilder().address(this->settings.address).port(this->settings.port).build();
     this->server = std::move(net::HttpServer::listen(*this->loop,
                                                      http.value(),
@@ -36,8 +36,8 @@
                                                      }))
                        .value();
     this->client = std::make_unique<net::HttpClient>(*this->loop);
-    this->loop->every(BeatInterval, [this] {
-        this->beat();
+    this->loop->every(HeartbeatInterval, [this] {
+        this->sendHeartbeat();
     });
     this->thread = std::thread([this] {
         this->loop->run();
@@ -58,7 +58,7 @@
     const auto now = std::chrono::steady_clock::now();
     if (this->settings.grantsByCall) {
         std::vector<std::array<std::uint64_t, 3>> held;
-        for (const CalledHold &hold : this->called) {
+        for (const GrantedRange &hold : this->grantedRanges) {
             if (now < hold.until) {
                 held.push_back(hold.row);
             }
@@ -83,17 +83,18 @@
 {
     const std::lock_guard guard(this->mutex);
     const std::array<std::uint64_t, 3> row{order["from"], order["target_version"], order["fence"]};
-    const bool outdated = std::any_of(this->called.begin(), this->called.end(), [&](const CalledHold &hold) {
-        return hold.row[0] <= row[1] && row[0] <= hold.row[1] && hold.row[2] > row[2];
-    });
+    const bool outdated =
+        std::any_of(this->grantedRanges.begin(), this->grantedRanges.end(), [&](const GrantedRange &hold) {
+            return hold.row[0] <= row[1] && row[0] <= hold.row[1] && hold.row[2] > row[2];
+        });
     if (outdated) {
         return {409, {}, ""};
     }
-    std::erase_if(this->called, [&](const CalledHold &hold) {
+    std::erase_if(this->grantedRanges, [&](const GrantedRange &hold) {
         return row[0] <= hold.row[0] && hold.row[1] <= row[1];
     });
     const std::chrono::milliseconds holdFor(order["hold_ms"].get<std::uint64_t>());
-    this->called.push_back({row, std::chrono::steady_clock::now() + holdFor});
+    this->grantedRanges.push_back({row, std::chrono::steady_clock::now() + holdFor});
     return {200, {}, ""};
 }
 
@@ -101,20 +102,20 @@
 {
     const std::lock_guard guard(this->mutex);
     const std::array<std::uint64_t, 3> row{order["from"], order["target_version"], order["fence"]};
-    std::vector<CalledHold> left;
-    for (const CalledHold &hold : this->called) {
+    std::vector<GrantedRange> remaining;
+    for (const GrantedRange &hold : this->grantedRanges) {
         if (hold.row[1] < row[0] || row[1] < hold.row[0] || hold.row[2] > row[2]) {
-            left.push_back(hold);
+            remaining.push_back(hold);
             continue;
         }
         if (hold.row[0] < row[0]) {
-            left.push_back({{hold.row[0], row[0] - 1, hold.row[2]}, hold.until});
+            remaining.push_back({{hold.row[0], row[0] - 1, hold.row[2]}, hold.until});
         }
         if (row[1] < hold.row[1]) {
-            left.push_back({{row[1] + 1, hold.row[1], hold.row[2]}, hold.until});
+            remaining.push_back({{row[1] + 1, hold.row[1], hold.row[2]}, hold.until});
         }
     }
-    this->called = std::move(left);
+    this->grantedRanges = std::move(remaining);
     return {200, {{"X-Handover", "state-of-" + this->settings.id}}, ""};
 }
 
@@ -147,12 +148,12 @@
     exchange->answer(std::move(answer));
 }
 
-void PlatformWorker::beat()
+void PlatformWorker::sendHeartbeat()
 {
     const auto sentAt = std::chrono::steady_clock::now();
     json body = {
         {"address", this->settings.address + ":" + std::to_string(this->settings.port)},
-        {"born", this->born},
+        {"born", this->startedAtMs},
         {"info", {{"service", this->settings.service}, {"version", "v1"}, {"zone", this->settings.zone}, {"slots", 8}}},
         {"status", {{"state", "ready"}, {"seq", ++this->sequence}, {"warmup_left_ms", 0}}}};
     if (!this->settings.grantsByCall) {
@@ -160,7 +161,7 @@
         for (const auto &row : this->held()) {
             body["holds"].push_back(row);
         }
-        body["freed"] = std::exchange(this->freed, json::array());
+        body["freed"] = std::exchange(this->releasedRows, json::array());
     }
     net::HttpCall call;
     call.address = this->settings.control;
@@ -173,17 +174,18 @@
         if (result.outcome != net::CallOutcome::Answered || !answer.is_object() || !answer.contains("holds")) {
             return;
         }
-        std::vector<std::array<std::uint64_t, 3>> wanted;
+        std::vector<std::array<std::uint64_t, 3>> grantedRows;
         for (const json &row : answer["holds"]) {
-            wanted.push_back({row[0].get<std::uint64_t>(), row[1].get<std::uint64_t>(), row[2].get<std::uint64_t>()});
+            grantedRows.push_back(
+                {row[0].get<std::uint64_t>(), row[1].get<std::uint64_t>(), row[2].get<std::uint64_t>()});
         }
         const std::lock_guard guard(this->mutex);
         for (const auto &row : this->rows) {
-            if (std::find(wanted.begin(), wanted.end(), row) == wanted.end()) {
-                this->freed.push_back({row[0], row[1], "state-of-" + this->settings.id});
+            if (std::find(grantedRows.begin(), grantedRows.end(), row) == grantedRows.end()) {
+                this->releasedRows.push_back({row[0], row[1], "state-of-" + this->settings.id});
             }
         }
-        this->rows = std::move(wanted);
+        this->rows = std::move(grantedRows);
         this->heldUntil = sentAt + std::chrono::milliseconds(answer["hold_ms"].get<std::uint64_t>());
     });
 }
--- a/tests/PlatformWorker.h
+++ b/tests/PlatformWorker.h
@@ -17,8 +17,8 @@
 namespace bergamotweir::test {
 
 /**
- * A stand-in worker of the users' machines: it serves a numbered key only while it holds it, and tells its agent in
- * heartbeats what it holds. Runs on a thread of its own until it is destroyed.
+ * Fake worker of the users' machines. Serves a numbered key only while it holds the key, and reports its keys to the
+ * agent in heartbeats. Runs on its own thread until it is destroyed.
  */
 class PlatformWorker
 {
@@ -29,9 +29,9 @@
         std::string zone;
         std::string address;
         std::uint16_t port = 0;
-        /** IP:port that heartbeats go to. */
+        /** IP:PORT of the agent that receives the heartbeats. */
         std::string control;
-        /** Whether it gets its keys by calls, and says nothing of them in its heartbeats. */
+        /** Whether keys are granted by calls; heartbeats don't report keys then. */
         bool grantsByCall = false;
     };
 
@@ -40,24 +40,24 @@
     PlatformWorker(const PlatformWorker &) = delete;
     PlatformWorker &operator=(const PlatformWorker &) = delete;
 
-    /** @return rows of first key, last key and epoch that it holds now */
+    /** @return rows of first key, last key and epoch that are held now */
     std::vector<std::array<std::uint64_t, 3>> held();
 
-    /** Requests that it ran. */
+    /** Number of requests served. */
     std::atomic<unsigned> ran{0};
-    /** Requests that it refused because it held no such key. */
+    /** Number of requests refused because the key was not held or the request was for another process. */
     std::atomic<unsigned> misdirected{0};
 
 private:
     void run();
-    void beat();
+    void sendHeartbeat();
     void serve(const std::shared_ptr<net::Exchange> &exchange);
     bool holds(std::uint64_t key);
     net::HttpAnswer grant(const nlohmann::json &order);
     net::HttpAnswer release(const nlohmann::json &order);
 
-    /** Keys that it holds by a call. */
-    struct CalledHold {
+    /** Range of keys granted by a call. */
+    struct GrantedRange {
         std::array<std::uint64_t, 3> row;
         std::chrono::steady_clock::time_point until;
     };
@@ -65,11 +65,11 @@
     const Settings settings;
     std::mutex mutex;
     std::vector<std::array<std::uint64_t, 3>> rows;
-    std::vector<CalledHold> called;
-    nlohmann::json freed = nlohmann::json::array();
+    std::vector<GrantedRange> grantedRanges;
+    nlohmann::json releasedRows = nlohmann::json::array();
     std::chrono::steady_clock::time_point heldUntil;
     std::uint64_t sequence = 0;
-    std::uint64_t born = 0;
+    std::uint64_t startedAtMs = 0;
     std::unique_ptr<loop::EventLoop> loop;
     std::unique_ptr<net::HttpServer> server;
     std::unique_ptr<net::HttpClient> client;
