--- a/include/cli/Setting.h
+++ b/include/cli/Setting.h
@@ -7,7 +7,7 @@
 
 /** Format of the value of a setting or an argument. */
 struct ValueKind {
-    /** Stands for the value in the help, such as "PORT". */
+    /** Placeholder of the value in the help, such as "PORT". */
     std::string_view placeholder;
     /** Description of a valid value, which completes "isn't ..." in a finding. */
     std::string_view expected;
