--- a/include/loop/Log.h
+++ b/include/loop/Log.h
@@ -10,7 +10,7 @@
 
 namespace bergamotweir::loop {
 
-/** How much a message matters; the lower ones are left out by the setting log-level. */
+/** Severity of a message; the setting log-level suppresses messages below its level. */
 enum class LogLevel {
     Debug,
     Info,
@@ -18,26 +18,27 @@
     Error,
 };
 
-/** Lines about requests that went well: their number follows the load. */
+/** Bound for lines about successful requests, whose number grows with the load. */
 inline constexpr LogLimiter::Bound RoutineBound{50, std::chrono::seconds(1)};
-/** Lines about what failed, or about a change of what the process believes. */
+/** Bound for lines about failures and about changes of the process's state. */
 inline constexpr LogLimiter::Bound FailureBound{200, std::chrono::seconds(1)};
 
 /**
- * Starts writing the log to standard output, by log4cplus: a JSON object a line. Until then messages go nowhere, as in
- * tests. A reader that stops reading costs lines, which are counted, and never time.
+ * Starts writing the log to standard output through log4cplus, one JSON object per line. Messages logged before this
+ * call are discarded, as in tests. If the reader of the output stops reading, lines are dropped and counted; the
+ * process never blocks.
  * @param level debug, info, warn or error
- * @param process name of this process, told in each line
+ * @param process name of this process, written in each line
  */
 void startLogging(std::string_view level, std::string_view process);
 
-/** @return "key#" and a hash of a caller's key: log lines can be matched, the key itself isn't told */
+/** @return "key#" and a hash of a caller's key, so that log lines can be correlated without revealing the key */
 std::string redacted(std::string_view key);
 
 /**
- * The log of one part of a process, such as "raft" or "gate". Each line is a JSON object: time, level, process, part
- * and a message, or the fields of an event. Bounded by LogLimiter. Any thread. Cheap to create; usually a file-local
- * constant.
+ * The log of one part of a process, such as "raft" or "gate". Each line is a JSON object with time, level, process,
+ * part and either a message or the fields of an event. LogLimiter bounds the number of lines. Any thread. Cheap to
+ * create; usually a file-local constant.
  */
 class Log
 {
@@ -48,7 +49,7 @@
     {
     }
 
-    /** Writes a short sentence; no payload and no caller's key, see redacted(). */
+    /** Writes a short sentence. It must not contain a payload or a caller's key, see redacted(). */
     void debug(std::string_view message, LogSite site = LogSite::here()) const;
     void info(std::string_view message, LogSite site = LogSite::here()) const;
     void warn(std::string_view message, LogSite site = LogSite::here()) const;
@@ -56,15 +57,15 @@
 
     /**
      * Begins a line with fields, see LogEvent.
-     * @param name of the event, the same for all of its kind; a string literal
-     * @param bound of the lines that this place of the program writes
+     * @param name name of the event, the same for all events of this kind; a string literal
+     * @param bound maximum rate of lines from this call site
      */
     LogEvent event(LogLevel level,
                    const char *name,
                    const LogLimiter::Bound &bound = FailureBound,
                    LogSite site = LogSite::here()) const;
 
-    /** Writes each finding as an error of its own, at most LogLimiter's allowance. */
+    /** Writes each finding as a separate error, within the bound of LogLimiter. */
     void error(const Findings &findings, LogSite site = LogSite::here()) const;
 
 private:
--- a/include/loop/LogEvent.h
+++ b/include/loop/LogEvent.h
@@ -13,14 +13,14 @@
 enum class LogLevel;
 
 /**
- * One line of the structured log: a JSON object with an event's name and its fields. Written when it is destroyed, that
- * is, at the end of the statement that made it with Log::event(). Fields of a line that is left out cost next to
- * nothing.
+ * One line of the structured log: a JSON object with the name of an event and its fields. The destructor writes it,
+ * that is, at the end of the statement that created it with Log::event(). The fields of a suppressed line are not
+ * formatted.
  */
 class LogEvent
 {
 public:
-    /** An event that isn't written. */
+    /** Creates a suppressed event, which is not written. */
     LogEvent() = default;
     LogEvent(LogLevel level, const char *part, std::string_view name, std::uint64_t suppressed);
     ~LogEvent();
@@ -34,13 +34,13 @@
     LogEvent &with(const char *field, std::uint32_t value);
     LogEvent &with(const char *field, int value);
     LogEvent &with(const char *field, bool value);
-    /** Written as a number of milliseconds; the field's name should end in _ms. */
+    /** Writes a number of milliseconds; the name of the field should end in _ms. */
     LogEvent &with(const char *field, std::chrono::nanoseconds value);
 
 private:
-    LogEvent &raw(const char *field, std::string_view text);
+    LogEvent &appendField(const char *field, std::string_view text);
 
-    bool written = false;
+    bool enabled = false;
     LogLevel level{};
     std::string line;
 };
--- a/include/loop/LogLimiter.h
+++ b/include/loop/LogLimiter.h
@@ -10,10 +10,10 @@
 namespace bergamotweir::loop {
 
 /**
- * Decides which messages of a log are written.
- * Guards against a log that fills the disk or slows the process: under load or during a fault one line of the program
- * may want to write thousands of messages a second. Each line of the program has its own allowance, so that a noisy one
- * can't crowd out the others, and there are only so many lines; hence the log is bounded.
+ * Limits the rate of log messages per call site.
+ * Guards against a log that fills the disk or slows the process: under load or during a fault, a single call site may
+ * log thousands of messages a second. Each call site has its own allowance, so that a noisy one does not suppress the
+ * others. As the number of call sites is fixed, the total rate is bounded.
  * Owned by the log; not thread-safe.
  */
 class LogLimiter
@@ -22,22 +22,22 @@
     static constexpr unsigned MaxPerWindow = 10;
     static constexpr std::chrono::seconds Window{10};
 
-    /** How many messages of one line of the program are written in which time. */
+    /** The maximum number of messages that one call site may write within a time window. */
     struct Bound {
         unsigned maxMessages = MaxPerWindow;
         std::chrono::seconds window = Window;
     };
 
     /**
-     * @param site the line of the program that wants to write
-     * @param now the present time
-     * @param bound of this line of the program
-     * @return how many messages of this line were left out since the last one written; nothing when this one is left
-     *         out as well
+     * @param site the call site
+     * @param now the current time
+     * @param bound the bound of this call site
+     * @return how many messages of this call site were suppressed since the last one written; std::nullopt if this one
+     *         is suppressed as well
      */
     std::optional<std::uint64_t> allow(const LogSite &site, BootTime now, const Bound &bound);
 
-    /** The same within the bound of ordinary messages. */
+    /** Applies the default bound. */
     std::optional<std::uint64_t> allow(const LogSite &site, BootTime now)
     {
         return this->allow(site, now, Bound{});
@@ -45,7 +45,7 @@
 
 private:
     struct Allowance {
-        BootTime start{};
+        BootTime windowStartAt{};
         unsigned written = 0;
         std::uint64_t suppressed = 0;
     };
--- a/include/loop/LogSite.h
+++ b/include/loop/LogSite.h
@@ -4,7 +4,7 @@
 
 namespace bergamotweir::loop {
 
-/** The line of the program that writes a message. std::source_location is missing from the linter's compiler. */
+/** The call site of a log message. std::source_location isn't used, as the linter's compiler does not have it. */
 struct LogSite {
     const char *file = "";
     int line = 0;
@@ -14,7 +14,7 @@
         return std::tie(this->file, this->line) < std::tie(other.file, other.line);
     }
 
-    /** @return the place of the call; as a default argument, the place of the outer call */
+    /** @return the location of the call; as a default argument, the location of the outer call */
     static constexpr LogSite here(const char *file = __builtin_FILE(), int line = __builtin_LINE())
     {
         return {file, line};
--- a/include/rpc/ClaimClient.h
+++ b/include/rpc/ClaimClient.h
@@ -12,9 +12,9 @@
 namespace bergamotweir::rpc {
 
 /**
- * An agent's calls about claims, to whichever control replica leads.
- * Both calls are idempotent (same attempt, same answer), so a lost answer is asked for again until the timeout.
- * Owned by the agent process; used on the loop's thread.
+ * Sends an agent's calls about claims to the leader of the control group.
+ * Both calls are idempotent (the same attempt gets the same answer), so an unanswered call is retried until its
+ * timeout. Owned by the agent process; used on the loop's thread.
  */
 class ClaimClient
 {
@@ -30,8 +30,9 @@
 
     /**
      * Claims an Idempotency-Key for one attempt.
-     * @param request what to claim
-     * @param timeout after which the verdict is CLAIM_VERDICT_UNAVAILABLE; the claim may exist all the same
+     * @param request the claim
+     * @param timeout time after which the verdict is CLAIM_VERDICT_UNAVAILABLE, although the claim may have been
+     * recorded
      * @param done called once, on the loop's thread
      */
     void claim(const wire::ClaimRequest &request,
@@ -39,9 +40,9 @@
                std::function<void(wire::ClaimReply)> done);
 
     /**
-     * Records or gives back a claim.
-     * @param outcome what became of the attempt
-     * @param timeout after which the reply says not recorded
+     * Records the outcome of a claim or releases it.
+     * @param outcome the outcome of the attempt
+     * @param timeout time after which the reply says that the outcome was not recorded
      * @param done called once, on the loop's thread
      */
     void recordOutcome(const wire::ClaimOutcome &outcome,
--- a/include/rpc/ControlService.h
+++ b/include/rpc/ControlService.h
@@ -14,14 +14,14 @@
 
 namespace bergamotweir::rpc {
 
-/** Who handles what a ControlService receives; all called on the loop's thread. */
+/** Callbacks of a ControlService; all run on the loop's thread. */
 struct ControlServiceEvents {
-    /** A session whose first message was a Hello. */
+    /** A session was opened; its first message was a Hello. */
     std::function<void(std::uint64_t session, const wire::Hello &)> opened;
     std::function<void(std::uint64_t session, const wire::AgentMessage &)> message;
-    /** An opened session ended, whoever ended it. */
+    /** An opened session ended, closed by either side. */
     std::function<void(std::uint64_t session)> closed;
-    /** The answer is given exactly once, on the loop's thread. */
+    /** The handler must answer exactly once, on the loop's thread. */
     std::function<void(const wire::ClaimRequest &, std::function<void(wire::ClaimReply)>)> claim;
     std::function<void(const wire::ClaimOutcome &, std::function<void(wire::OutcomeReply)>)> recordOutcome;
     std::function<void(const wire::OperatorRequest &, std::function<void(wire::OperatorReply)>)> operate;
@@ -29,34 +29,35 @@
 
 /**
  * The gRPC endpoint of a control replica, for agents and operators.
- * Owned by the control process. gRPC's own threads only hand over to the loop. Bounded: one message of a session is
- * handled before the next is read, and an agent that doesn't read what is sent to it loses its session.
+ * Owned by the control process. gRPC's own threads only post to the loop. Memory is bounded: a session's next message
+ * is read only after the previous one has been handled, and the session of an agent that does not read its messages is
+ * closed.
  */
 class ControlService
 {
 public:
     /**
-     * Listens.
+     * Starts to listen.
      * @param loop outlives the service
-     * @param address IP to bind
-     * @param port TCP port, 0 for the kernel's choice
-     * @return the service, or why it could not listen
+     * @param address IP address to bind to
+     * @param port TCP port; 0 lets the kernel choose one
+     * @return the service, or the reason why it could not listen
      */
     static Result<std::unique_ptr<ControlService>>
     listen(loop::EventLoop &loop, const std::string &address, std::uint16_t port, ControlServiceEvents events);
 
-    /** Ends every session and call. No event is called any more. */
+    /** Ends all sessions and calls; no callback runs after this. */
     ~ControlService();
     ControlService(const ControlService &) = delete;
     ControlService &operator=(const ControlService &) = delete;
 
-    /** @return the port bound to */
+    /** @return the TCP port that the service listens on */
     std::uint16_t port() const;
 
-    /** Sends on a session, in order; one that has ended is ignored. */
+    /** Queues a message on a session, in order; does nothing if the session has ended. */
     void send(std::uint64_t session, const std::shared_ptr<const wire::ControlMessage> &message);
 
-    /** Ends a session once everything sent before has been written; one that has ended is ignored. */
+    /** Ends a session once all queued messages have been written; does nothing if the session has ended. */
     void close(std::uint64_t session);
 
 private:
--- a/include/rpc/ControlSession.h
+++ b/include/rpc/ControlSession.h
@@ -17,57 +17,58 @@
 
 class ReplicaConnections;
 
-/** Counts the sessions of one agent process; a message of an older session means nothing. */
+/** Number of a session of one agent process, in ascending order; messages of older sessions are ignored. */
 using SessionId = std::uint64_t;
 
 /** Callbacks of a ControlSession; all run on the loop's thread. */
 struct ControlSessionEvents {
-    /** Makes the first message of a new session. */
+    /** Returns the first message of a new session. */
     std::function<wire::Hello()> hello;
-    /** A session with a replica that has not redirected has begun and said something. */
+    /** A session was opened: the replica has sent a message other than a redirect or the acceptance. */
     std::function<void(SessionId)> opened;
-    /** A message of the open session; redirects are not passed on. */
+    /** A message arrived on the open session; redirects are not passed on. */
     std::function<void(SessionId, wire::ControlMessage)> message;
-    /** The open session ended; another one is already being sought. */
+    /** The open session ended; the search for the next one follows on its own. */
     std::function<void(SessionId)> closed;
 };
 
-/** How patient a ControlSession is. */
+/** Time-outs and backoff of a ControlSession. */
 struct ControlSessionTimeouts {
-    /** A replica that says nothing for so long is left: it may be frozen or behind a silent partition. */
+    /** Time without any message after which a session is closed: the replica may be frozen or partitioned. */
     std::chrono::milliseconds silenceTimeout{200};
     /**
-     * A replica that hasn't answered at all within so long is left: the next one may be the leader. Grows with each
-     * one in a row: where all are that slow, leaving sooner would only add to their work. Longer where setting up
-     * the connection took long, as an answer then takes as long.
+     * Time without any answer after which the next replica is asked, as it may be the leader. Grows with each
+     * consecutive unanswered request: if all replicas are that slow, a shorter time-out would only add to their load.
+     * Longer if it took long to set up the connection, as an answer then takes as long.
      */
     BackoffSettings openTimeout{std::chrono::milliseconds(500), std::chrono::milliseconds(4000)};
     /**
-     * Pause before the next replica is tried. At its longest, 80 agents ask each of 5 replicas about 100 times a second
-     * while there is no leader.
+     * Backoff before the next replica is asked. At its maximum, 80 agents send each of 5 replicas about 100 requests a
+     * second while there is no leader.
      */
     BackoffSettings retryBackoff{std::chrono::milliseconds(25), std::chrono::milliseconds(200)};
-    /** Longest silence of a leader that has accepted the session and owes the full state, after failures in a row. */
+    /** Upper bound for the silence time-out after consecutive failures, while an accepted session waits for the full
+     * state. */
     std::chrono::milliseconds maxSilence{8000};
-    /** A replica that fell silent is not returned to for so long, even when another one names it the leader. */
+    /** How long an unresponsive replica is avoided, even if another replica names it as the leader. */
     std::chrono::milliseconds avoidFor{500};
-    /** Spreads the pauses of many agents. */
+    /** Seed for the jitter that spreads the requests of many agents. */
     std::uint64_t seed = 0;
 };
 
 /**
- * An agent's stream to the leader of the control group: finds it, keeps the stream, finds the next one.
- * Owned by the agent process; used on the loop's thread.
+ * Maintains an agent's stream to the leader of the control group: finds the leader, opens the stream, and searches
+ * again when the stream ends. Owned by the agent process; used on the loop's thread.
  */
 class ControlSession
 {
 public:
     /**
-     * Starts to look for the leader.
+     * Starts to search for the leader.
      * @param loop outlives the session
      * @param addresses IP:port of the control replicas, at least one
-     * @param events what to call
-     * @param timeouts how long to wait for what
+     * @param events callbacks
+     * @param timeouts time-outs and backoff
      */
     ControlSession(loop::EventLoop &loop,
                    std::vector<std::string> addresses,
@@ -80,70 +81,72 @@
     ControlSession &operator=(const ControlSession &) = delete;
 
     /**
-     * Sends on the present stream, in order; dropped when there is none, so state must be sent again on opened().
+     * Sends on the current stream, in order. Without a stream the message is dropped, so state must be sent again on
+     * opened().
      * @param message anything but a Hello
      */
     void send(const wire::AgentMessage &message);
 
-    /** Looks for the leader at these addresses as well, as those known from the start may be gone one day. */
+    /** Adds addresses to search for the leader, as the initial replicas may have been replaced. */
     void addAddresses(const std::vector<std::string> &replicas);
 
-    /** @return whether a replica that takes sessions has answered on the present stream */
+    /** @return whether the session is open, that is, the leader has answered on the current stream */
     bool isOpen() const;
 
 private:
     class Stream;
-    void seek();
-    void follow(const std::string &leader);
+    void askNextReplica();
+    void followRedirect(const std::string &leader);
     std::shared_ptr<wire::Control::Stub> chooseReady(BootTime now);
     void connect(const std::string &address, std::shared_ptr<wire::Control::Stub> stub);
     std::chrono::nanoseconds currentOpenTimeout() const;
-    void received(SessionId session, wire::ControlMessage message);
+    void handleMessage(SessionId session, wire::ControlMessage message);
     void streamEnded(SessionId session);
-    void ended(SessionId session);
+    void handleEnd(SessionId session);
     void logDisconnect(const char *why) const;
     void freeEndedStreams();
     void disconnect();
     void checkSilence();
     std::chrono::milliseconds maxSilence() const;
-    void checkOpening(SessionId session);
+    void checkOpenTimeout(SessionId session);
     bool isAvoided(const std::string &address) const;
 
     loop::EventLoop &loop;
     std::vector<std::string> addresses;
     ControlSessionEvents events;
     ControlSessionTimeouts timeouts;
-    /** Those of all replicas while a session is sought, then the session's own; a stream holds on to its own. */
+    /** Connections to all replicas during the search, then only that of the session. A stream keeps its own connection.
+     */
     std::unique_ptr<ReplicaConnections> connections;
     std::unique_ptr<Stream> stream;
-    /** Cancelled streams that gRPC has not finished with. */
-    std::vector<std::unique_ptr<Stream>> leaving;
+    /** Cancelled streams whose OnDone() has not run yet. */
+    std::vector<std::unique_ptr<Stream>> cancelledStreams;
     SessionId session = 0;
-    /** The leader took the session and has sent nothing else yet. */
+    /** The leader has accepted the session; the session opens with the leader's next message. */
     bool accepted = false;
     bool opened = false;
-    /** Sessions in a row that never opened. */
+    /** Number of consecutive sessions that never opened. */
     unsigned failures = 0;
-    /** Replicas asked in a row that did not answer at all. */
-    unsigned unanswered = 0;
+    /** Number of consecutive requests for a session that got no answer. */
+    unsigned unansweredRequests = 0;
     pcg32 random;
-    /** Where the search begins: spreads agents over the replicas. */
+    /** Index of the address where the search begins; random, to spread agents over the replicas. */
     std::size_t firstAddress = 0;
-    /** When each replica was asked for a session last. */
+    /** When each replica was last asked for a session. */
     std::map<std::string, BootTime> askedAt;
-    /** When the last stream was left. */
-    BootTime leftAt{};
+    /** When the last stream was cancelled. */
+    BootTime disconnectedAt{};
     std::string currentAddress;
-    /** The leader by the last redirect; empty once it was asked. */
-    std::string namedLeader;
+    /** Address of the leader according to the last redirect; empty once that replica has been asked. */
+    std::string redirectTarget;
     std::string avoidedAddress;
     BootTime avoidedUntil{};
-    BootTime lastHeard{};
-    /** When the present replica was asked for a session. */
+    BootTime lastReceivedAt{};
+    /** When the current replica was asked for a session. */
     BootTime searchStartedAt{};
     loop::TimerId silenceTimer = 0;
-    /** Pause before the next replica is asked, or the next look for a connection that is ready. */
-    loop::TimerId seekTimer = 0;
+    /** Backoff before the next replica is asked, or interval until the next check for a connection that is ready. */
+    loop::TimerId askTimer = 0;
     std::shared_ptr<bool> alive;
 };
 
--- a/include/rpc/RaftTransport.h
+++ b/include/rpc/RaftTransport.h
@@ -15,30 +15,30 @@
 
 namespace bergamotweir::rpc {
 
-/** Where a replica listens. */
+/** The address on which a replica listens. */
 struct RaftTransportSettings {
-    /** IP. */
+    /** IP address. */
     std::string address;
-    /** 0 takes a port of the kernel's choice. */
+    /** TCP port; 0 lets the kernel choose one. */
     std::uint16_t port = 0;
 };
 
 /**
  * Carries messages between replicas over gRPC, one stream for each direction and pair.
- * Messages may be lost, never changed. Queues are bounded; a broken stream drops what was queued, as consensus sends
- * again what still matters. Owned by ReplicaNode; all methods are for the loop's thread.
+ * Messages may be lost but are never changed. Queues are bounded. When a stream breaks, its queue is dropped, as Raft
+ * retransmits what is still needed. Owned by ReplicaNode; all methods must be called on the loop's thread.
  */
 class RaftTransport
 {
 public:
-    /** Largest message taken or sent. */
+    /** Maximum size of a message, in bytes, that is sent or received. */
     static constexpr std::size_t MaxMessageBytes = std::size_t{8} * 1024 * 1024;
 
     /**
      * @param loop outlives the transport
-     * @param settings where to listen
+     * @param settings the address to listen on
      * @param received called on the loop's thread for each message
-     * @return the listening transport, or why it can't listen
+     * @return the listening transport, or the reason why it can't listen
      */
     static Result<std::unique_ptr<RaftTransport>> open(loop::EventLoop &loop,
                                                        const RaftTransportSettings &settings,
@@ -48,10 +48,10 @@
     RaftTransport(const RaftTransport &) = delete;
     RaftTransport &operator=(const RaftTransport &) = delete;
 
-    /** Queues a message; may drop it or older ones. @param address IP:port */
+    /** Queues a message; may drop it or older messages. @param address IP:port of the peer */
     void send(const std::string &address, wire::RaftMessage message);
 
-    /** @return the port listened on */
+    /** @return the TCP port that the transport listens on */
     std::uint16_t port() const;
 
 private:
--- a/src/loop/EventLoop.cpp
+++ b/src/loop/EventLoop.cpp
@@ -22,7 +22,7 @@
 
 namespace {
 
-/** Every descriptor, timer and signal of the loop is one of these; ACE owns none of them. */
+/** Event handler of one watched descriptor; not owned by ACE. */
 class Watch : public ACE_Event_Handler
 {
 public:
@@ -54,13 +54,13 @@
 
     ACE_HANDLE descriptor;
     std::function<void(Readiness)> ready;
-    bool active = true;
+    bool isActive = true;
 
 private:
     int deliver(Readiness readiness)
     {
-        if (this->active) {
-            // Kept alive by a copy: the callback may replace or end this watch.
+        if (this->isActive) {
+            // Copied, as the callback may replace or remove this watch while it runs.
             const std::function<void(Readiness)> callback = this->ready;
             callback(readiness);
         }
@@ -68,11 +68,11 @@
     }
 };
 
-/** Hands a signal, caught by ACE in signal context, to the loop's thread. */
-class SignalCatcher : public ACE_Event_Handler
+/** Forwards a signal, which ACE receives in signal context, to the loop's thread. */
+class SignalHandler : public ACE_Event_Handler
 {
 public:
-    std::function<void()> caught;
+    std::function<void()> callback;
 
     int handle_signal(int, siginfo_t *, ucontext_t *) override
     {
@@ -84,7 +84,7 @@
     int handle_exception(ACE_HANDLE) override
     {
         if (this->pending.exchange(false)) {
-            this->caught();
+            this->callback();
         }
         return 0;
     }
@@ -105,7 +105,7 @@
             first = this->tasks.empty();
             this->tasks.push_back(std::move(task));
         }
-        // The loop's own thread looks at the queue before it waits again.
+        // The loop's own thread checks the queue before it waits again.
         if (first && std::this_thread::get_id() != this->loopThread.load()) {
             this->reactor()->notify(this, ACE_Event_Handler::EXCEPT_MASK);
         }
@@ -117,15 +117,15 @@
         return 0;
     }
 
-    /** Runs what has been posted; not what is posted meanwhile. */
+    /** Runs the tasks posted so far, but not those that are posted meanwhile. */
     void run()
     {
-        std::deque<std::function<void()>> taken;
+        std::deque<std::function<void()>> batch;
         {
             const std::lock_guard guard(this->mutex);
-            taken.swap(this->tasks);
+            batch.swap(this->tasks);
         }
-        for (const std::function<void()> &task : taken) {
+        for (const std::function<void()> &task : batch) {
             task();
         }
     }
@@ -143,34 +143,36 @@
     std::deque<std::function<void()>> tasks;
 };
 
-/** Tasks posted by tasks run in the same turn, but must not keep sockets and timers waiting for ever. */
-constexpr int TaskRoundsPerTurn = 8;
-/** Descriptors that the loop watches at most; the reactor keeps a table entry for each. */
-constexpr rlim_t MostDescriptors = 8192;
+/** Tasks posted by tasks run in the same iteration of the loop; the bound keeps them from starving sockets and timers.
+ */
+constexpr int MaxTaskRoundsPerIteration = 8;
+/** Maximum number of descriptors that the loop watches; the reactor keeps a table entry for each. */
+constexpr rlim_t MaxDescriptors = 8192;
 
 /**
- * Guards against a process that can't start on a VM which allows few descriptors: the reactor refuses to open for more
- * than the process may have.
+ * Returns the size of the reactor's descriptor table.
+ * Guards against a process that can't start on a VM with a low limit of descriptors: the reactor fails to open with a
+ * table larger than that limit.
  */
-std::size_t descriptorsAllowed()
+std::size_t maxReactorDescriptors()
 {
     rlimit limit{};
     if (getrlimit(RLIMIT_NOFILE, &limit) != 0) {
-        return MostDescriptors;
+        return MaxDescriptors;
     }
-    return std::min(limit.rlim_cur, MostDescriptors);
+    return std::min(limit.rlim_cur, MaxDescriptors);
 }
 
 } // namespace
 
 struct EventLoop::Parts {
-    ACE_Dev_Poll_Reactor implementation{descriptorsAllowed(), true};
+    ACE_Dev_Poll_Reactor implementation{maxReactorDescriptors(), true};
     ACE_Reactor reactor{&implementation};
     TaskQueue tasks;
     std::unordered_map<int, std::unique_ptr<Watch>> watches;
     std::vector<std::unique_ptr<Watch>> endedWatches;
     TimerQueue timers;
-    std::map<int, std::unique_ptr<SignalCatcher>> signals;
+    std::map<int, std::unique_ptr<SignalHandler>> signals;
 };
 
 Result<std::unique_ptr<EventLoop>> EventLoop::create()
@@ -198,7 +200,7 @@
     while (!this->parts->watches.empty()) {
         this->unwatch(this->parts->watches.begin()->first);
     }
-    for (const auto &[signal, catcher] : this->parts->signals) {
+    for (const auto &[signal, handler] : this->parts->signals) {
         this->parts->reactor.remove_handler(signal, static_cast<ACE_Sig_Action *>(nullptr));
     }
     this->parts->reactor.purge_pending_notifications(&this->parts->tasks);
@@ -209,14 +211,14 @@
     this->parts->reactor.reset_reactor_event_loop();
     this->parts->tasks.loopThread = std::this_thread::get_id();
     while (this->parts->reactor.reactor_event_loop_done() == 0) {
-        for (int round = 0; round < TaskRoundsPerTurn && !this->parts->tasks.empty(); ++round) {
+        for (int round = 0; round < MaxTaskRoundsPerIteration && !this->parts->tasks.empty(); ++round) {
             this->parts->tasks.run();
         }
         if (this->parts->tasks.empty()) {
             this->parts->reactor.handle_events();
         } else {
-            ACE_Time_Value none = ACE_Time_Value::zero;
-            this->parts->reactor.handle_events(none);
+            ACE_Time_Value noWait = ACE_Time_Value::zero;
+            this->parts->reactor.handle_events(noWait);
         }
         this->parts->endedWatches.clear();
     }
@@ -270,21 +272,21 @@
     if (found == this->parts->watches.end()) {
         return;
     }
-    found->second->active = false;
+    found->second->isActive = false;
     this->parts->reactor.remove_handler(found->second.get(),
                                         ACE_Event_Handler::ALL_EVENTS_MASK | ACE_Event_Handler::DONT_CALL);
-    // The reactor may be calling this very watch: it is freed once the call has returned.
+    // The reactor may be inside a call of this watch, so it is freed only after the call has returned.
     this->parts->endedWatches.push_back(std::move(found->second));
     this->parts->watches.erase(found);
 }
 
 void EventLoop::onSignal(int signal, std::function<void()> task)
 {
-    auto catcher = std::make_unique<SignalCatcher>();
-    catcher->caught = std::move(task);
-    catcher->reactor(&this->parts->reactor);
-    this->parts->reactor.register_handler(signal, catcher.get());
-    this->parts->signals[signal] = std::move(catcher);
+    auto handler = std::make_unique<SignalHandler>();
+    handler->callback = std::move(task);
+    handler->reactor(&this->parts->reactor);
+    this->parts->reactor.register_handler(signal, handler.get());
+    this->parts->signals[signal] = std::move(handler);
 }
 
 } // namespace bergamotweir::loop
--- a/src/loop/Log.cpp
+++ b/src/loop/Log.cpp
@@ -22,7 +22,7 @@
 
 constexpr std::size_t MaxMessageLength = 400;
 
-/** The log of the process; started once and never taken down, so that threads may write until the end. */
+/** The log of the process; created once and never destroyed, so that threads may write until the process exits. */
 struct Writer {
     std::mutex mutex;
     LogLimiter limiter;
@@ -33,8 +33,8 @@
 
 Writer &writer()
 {
-    static auto *const theWriter = new Writer;
-    return *theWriter;
+    static auto *const instance = new Writer;
+    return *instance;
 }
 
 log4cplus::LogLevel toLog4cplus(LogLevel level)
@@ -52,7 +52,7 @@
     return log4cplus::ERROR_LOG_LEVEL;
 }
 
-log4cplus::LogLevel levelNamed(std::string_view name)
+log4cplus::LogLevel levelFromText(std::string_view name)
 {
     if (name == "debug") {
         return log4cplus::DEBUG_LOG_LEVEL;
@@ -63,7 +63,7 @@
     return name == "error" ? log4cplus::ERROR_LOG_LEVEL : log4cplus::INFO_LOG_LEVEL;
 }
 
-const char *nameOf(LogLevel level)
+const char *levelText(LogLevel level)
 {
     switch (level) {
     case LogLevel::Debug:
@@ -84,29 +84,29 @@
     const auto seconds = std::chrono::duration_cast<std::chrono::seconds>(now);
     const auto millis = std::chrono::duration_cast<std::chrono::milliseconds>(now - seconds);
     const std::time_t time = seconds.count();
-    std::tm parts{};
-    gmtime_r(&time, &parts);
+    std::tm fields{};
+    gmtime_r(&time, &fields);
     std::array<char, 96> text{};
     std::snprintf(text.data(),
                   text.size(),
                   "%04d-%02d-%02dT%02d:%02d:%02d.%03dZ",
-                  parts.tm_year + 1900,
-                  parts.tm_mon + 1,
-                  parts.tm_mday,
-                  parts.tm_hour,
-                  parts.tm_min,
-                  parts.tm_sec,
+                  fields.tm_year + 1900,
+                  fields.tm_mon + 1,
+                  fields.tm_mday,
+                  fields.tm_hour,
+                  fields.tm_min,
+                  fields.tm_sec,
                   static_cast<int>(millis.count()));
     return text.data();
 }
 
-/** @return whether a line of that level is written at all */
-bool isWritten(LogLevel level)
+/** @return whether lines of that level are written */
+bool isEnabled(LogLevel level)
 {
     return started && log4cplus::Logger::getRoot().isEnabledFor(toLog4cplus(level));
 }
 
-/** @return how many lines of the site were left out before; nothing when this one is left out as well */
+/** @return how many lines of the site were suppressed before; std::nullopt if this one is suppressed as well */
 std::optional<std::uint64_t> allow(const LogSite &site, const LogLimiter::Bound &bound)
 {
     const std::lock_guard guard(writer().mutex);
@@ -117,7 +117,7 @@
 
 std::string lineStart(LogLevel level, const char *part)
 {
-    std::string line = "{\"time\":\"" + wallClock() + "\",\"level\":\"" + nameOf(level) + "\",\"process\":\"";
+    std::string line = "{\"time\":\"" + wallClock() + "\",\"level\":\"" + levelText(level) + "\",\"process\":\"";
     return line.append(writer().process).append("\",\"part\":\"").append(part).append("\"");
 }
 
@@ -135,7 +135,7 @@
     log4cplus::initialize();
     log4cplus::Logger root = log4cplus::Logger::getRoot();
     root.addAppender(log4cplus::SharedAppenderPtr(new PipeAppender(STDOUT_FILENO)));
-    root.setLogLevel(levelNamed(level));
+    root.setLogLevel(levelFromText(level));
 }
 
 std::string redacted(std::string_view key)
@@ -175,7 +175,7 @@
 
 LogEvent Log::event(LogLevel level, const char *name, const LogLimiter::Bound &bound, LogSite site) const
 {
-    if (!isWritten(level)) {
+    if (!isEnabled(level)) {
         return {};
     }
     const std::optional<std::uint64_t> suppressed = allow(site, bound);
@@ -184,7 +184,7 @@
 
 void Log::write(LogLevel level, std::string_view message, const LogSite &site) const
 {
-    if (!isWritten(level)) {
+    if (!isEnabled(level)) {
         return;
     }
     const std::optional<std::uint64_t> suppressed = allow(site, LogLimiter::Bound{});
--- a/src/loop/LogEvent.cpp
+++ b/src/loop/LogEvent.cpp
@@ -14,11 +14,11 @@
 
 std::string quoted(std::string_view text)
 {
-    // Text from a peer may hold anything: what is no UTF-8 is replaced.
+    // Text from a peer may hold arbitrary bytes; invalid UTF-8 is replaced.
     return nlohmann::json(std::string(text)).dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
-std::string shortNumber(double value)
+std::string formatNumber(double value)
 {
     std::array<char, 32> text{};
     std::snprintf(text.data(), text.size(), "%.6g", value);
@@ -28,7 +28,7 @@
 } // namespace
 
 LogEvent::LogEvent(LogLevel level, const char *part, std::string_view name, std::uint64_t suppressed)
-    : written(true)
+    : enabled(true)
     , level(level)
     , line(lineStart(level, part))
 {
@@ -40,7 +40,7 @@
 
 LogEvent::~LogEvent()
 {
-    if (this->written) {
+    if (this->enabled) {
         this->line += '}';
         writeLine(this->level, this->line);
     }
@@ -48,7 +48,7 @@
 
 LogEvent &LogEvent::with(const char *field, std::string_view value)
 {
-    return this->written ? this->raw(field, quoted(value)) : *this;
+    return this->enabled ? this->appendField(field, quoted(value)) : *this;
 }
 
 LogEvent &LogEvent::with(const char *field, const char *value)
@@ -58,12 +58,12 @@
 
 LogEvent &LogEvent::with(const char *field, double value)
 {
-    return this->written ? this->raw(field, shortNumber(value)) : *this;
+    return this->enabled ? this->appendField(field, formatNumber(value)) : *this;
 }
 
 LogEvent &LogEvent::with(const char *field, std::uint64_t value)
 {
-    return this->written ? this->raw(field, std::to_string(value)) : *this;
+    return this->enabled ? this->appendField(field, std::to_string(value)) : *this;
 }
 
 LogEvent &LogEvent::with(const char *field, std::uint32_t value)
@@ -73,12 +73,12 @@
 
 LogEvent &LogEvent::with(const char *field, int value)
 {
-    return this->written ? this->raw(field, std::to_string(value)) : *this;
+    return this->enabled ? this->appendField(field, std::to_string(value)) : *this;
 }
 
 LogEvent &LogEvent::with(const char *field, bool value)
 {
-    return this->raw(field, value ? "true" : "false");
+    return this->appendField(field, value ? "true" : "false");
 }
 
 LogEvent &LogEvent::with(const char *field, std::chrono::nanoseconds value)
@@ -86,9 +86,9 @@
     return this->with(field, std::chrono::duration<double, std::milli>(value).count());
 }
 
-LogEvent &LogEvent::raw(const char *field, std::string_view text)
+LogEvent &LogEvent::appendField(const char *field, std::string_view text)
 {
-    if (this->written) {
+    if (this->enabled) {
         this->line.append(",\"").append(field).append("\":").append(text);
     }
     return *this;
--- a/src/loop/LogLimiter.cpp
+++ b/src/loop/LogLimiter.cpp
@@ -7,8 +7,8 @@
 std::optional<std::uint64_t> LogLimiter::allow(const LogSite &site, BootTime now, const Bound &bound)
 {
     Allowance &allowance = this->sites[site];
-    if (now - allowance.start >= bound.window) {
-        allowance.start = now;
+    if (now - allowance.windowStartAt >= bound.window) {
+        allowance.windowStartAt = now;
         allowance.written = 0;
     }
     if (allowance.written >= bound.maxMessages) {
--- a/src/loop/LogWriter.h
+++ b/src/loop/LogWriter.h
@@ -10,7 +10,7 @@
 /** @return the beginning of a line: an open JSON object with time, level, process and part */
 std::string lineStart(LogLevel level, const char *part);
 
-/** Writes a line by the logging library, unless its level is left out. Any thread; never waits for the reader. */
+/** Writes a line through the logging library. Any thread; never waits for the reader. */
 void writeLine(LogLevel level, const std::string &line);
 
 } // namespace bergamotweir::loop
--- a/src/loop/PipeAppender.cpp
+++ b/src/loop/PipeAppender.cpp
@@ -29,41 +29,41 @@
 void PipeAppender::append(const log4cplus::spi::InternalLoggingEvent &event)
 {
     this->flush();
-    const bool failure = event.getLogLevel() >= log4cplus::WARN_LOG_LEVEL;
+    const bool isFailure = event.getLogLevel() >= log4cplus::WARN_LOG_LEVEL;
     const std::string &line = event.getMessage();
-    if (this->waiting.size() + line.size() > (failure ? MostWaiting : MostWaitingOrdinary)) {
-        ++this->lost;
+    if (this->buffer.size() + line.size() > (isFailure ? MaxBufferedBytes : MaxBufferedRoutineBytes)) {
+        ++this->lostLines;
         return;
     }
-    this->waiting += line;
-    if (this->lost > 0 && line.ends_with('}')) {
-        this->waiting.pop_back();
-        this->waiting += ",\"lines_lost\":" + std::to_string(this->lost) + "}";
-        this->lost = 0;
+    this->buffer += line;
+    if (this->lostLines > 0 && line.ends_with('}')) {
+        this->buffer.pop_back();
+        this->buffer += ",\"lines_lost\":" + std::to_string(this->lostLines) + "}";
+        this->lostLines = 0;
     }
-    this->waiting += '\n';
+    this->buffer += '\n';
     this->flush();
 }
 
-/** A pipe that is ready takes PIPE_BUF bytes without blocking, and as one piece. */
+/** Writes at most PIPE_BUF bytes at a time: a pipe that is ready accepts these atomically and without blocking. */
 void PipeAppender::flush()
 {
-    while (!this->waiting.empty()) {
+    while (!this->buffer.empty()) {
         pollfd ready{this->descriptor, POLLOUT, 0};
         if (poll(&ready, 1, 0) <= 0 || (ready.revents & POLLOUT) == 0) {
             return;
         }
-        std::size_t size = std::min<std::size_t>(this->waiting.size(), PIPE_BUF);
-        if (size < this->waiting.size()) {
-            // Whole lines only, as long as one fits.
-            const std::size_t end = this->waiting.rfind('\n', size - 1);
+        std::size_t size = std::min<std::size_t>(this->buffer.size(), PIPE_BUF);
+        if (size < this->buffer.size()) {
+            // Writes whole lines only, unless the first line is longer than PIPE_BUF.
+            const std::size_t end = this->buffer.rfind('\n', size - 1);
             size = end == std::string::npos ? size : end + 1;
         }
-        const ssize_t count = ::write(this->descriptor, this->waiting.data(), size);
+        const ssize_t count = ::write(this->descriptor, this->buffer.data(), size);
         if (count <= 0) {
             return;
         }
-        this->waiting.erase(0, static_cast<std::size_t>(count));
+        this->buffer.erase(0, static_cast<std::size_t>(count));
     }
 }
 
--- a/src/loop/PipeAppender.h
+++ b/src/loop/PipeAppender.h
@@ -9,22 +9,23 @@
 
 /**
  * Writes lines to a descriptor without ever waiting for its reader.
- * Guards against a process that stops because nobody reads its log. It shows as requests that hang while the log's pipe
- * is full. Lines wait in a bounded buffer, and beyond it they are lost and counted: those about failures last.
+ * Guards against a process that blocks because its log is not read: requests would hang while the log's pipe is full.
+ * Lines are kept in a bounded buffer. When it is full, lines are dropped and counted; lines about failures are dropped
+ * last.
  */
 class PipeAppender : public log4cplus::Appender
 {
 public:
-    /** @param descriptor stays open as long as this */
+    /** @param descriptor must stay open as long as this appender exists */
     explicit PipeAppender(int descriptor);
     ~PipeAppender() override;
 
     void close() override;
 
-    /** Bytes that wait at most for a reader: a second's lines under load. */
-    static constexpr std::size_t MostWaiting = 65536;
-    /** Beyond this, lines about what went well are lost. */
-    static constexpr std::size_t MostWaitingOrdinary = 32768;
+    /** Maximum size of the buffer in bytes: the lines of one second under load. */
+    static constexpr std::size_t MaxBufferedBytes = 65536;
+    /** Size of the buffer in bytes above which lines below the level of warnings are dropped. */
+    static constexpr std::size_t MaxBufferedRoutineBytes = 32768;
 
 protected:
     void append(const log4cplus::spi::InternalLoggingEvent &event) override;
@@ -33,8 +34,8 @@
     void flush();
 
     int descriptor;
-    std::string waiting;
-    std::uint64_t lost = 0;
+    std::string buffer;
+    std::uint64_t lostLines = 0;
 };
 
 } // namespace bergamotweir::loop
--- a/src/loop/TimerQueue.cpp
+++ b/src/loop/TimerQueue.cpp
@@ -24,19 +24,19 @@
 
 TimerId TimerQueue::add(std::chrono::nanoseconds delay, std::chrono::nanoseconds interval, std::function<void()> task)
 {
-    const TimerId name = ++this->last;
-    const BootTime due = BootClock::now() + std::max(delay, std::chrono::nanoseconds(0));
-    this->timers.emplace(name, Timer{due, interval, std::move(task)});
-    this->order.emplace(due, name);
+    const TimerId id = ++this->lastId;
+    const BootTime dueAt = BootClock::now() + std::max(delay, std::chrono::nanoseconds(0));
+    this->timers.emplace(id, Timer{dueAt, interval, std::move(task)});
+    this->timersByDueTime.emplace(dueAt, id);
     this->arm();
-    return name;
+    return id;
 }
 
 void TimerQueue::cancel(TimerId timer)
 {
     const auto found = this->timers.find(timer);
     if (found != this->timers.end()) {
-        this->order.erase({found->second.due, timer});
+        this->timersByDueTime.erase({found->second.dueAt, timer});
         this->timers.erase(found);
     }
 }
@@ -45,24 +45,24 @@
 {
     std::uint64_t expirations = 0;
     [[maybe_unused]] const auto size = read(this->timer, &expirations, sizeof expirations);
-    this->armed.reset();
+    this->wakeAt.reset();
     const BootTime now = BootClock::now();
-    while (!this->order.empty() && this->order.begin()->first <= now) {
-        const TimerId name = this->order.begin()->second;
-        this->order.erase(this->order.begin());
-        const auto found = this->timers.find(name);
-        Timer &due = found->second;
-        if (due.interval.count() == 0) {
-            const std::function<void()> task = std::move(due.task);
+    while (!this->timersByDueTime.empty() && this->timersByDueTime.begin()->first <= now) {
+        const TimerId id = this->timersByDueTime.begin()->second;
+        this->timersByDueTime.erase(this->timersByDueTime.begin());
+        const auto found = this->timers.find(id);
+        Timer &current = found->second;
+        if (current.interval.count() == 0) {
+            const std::function<void()> task = std::move(current.task);
             this->timers.erase(found);
             task();
             continue;
         }
-        // A process that was frozen makes up for none of the repetitions missed.
-        due.due = std::max(due.due + due.interval, now + std::chrono::nanoseconds(1));
-        this->order.emplace(due.due, name);
+        // Repetitions that were missed while the process was suspended are skipped.
+        current.dueAt = std::max(current.dueAt + current.interval, now + std::chrono::nanoseconds(1));
+        this->timersByDueTime.emplace(current.dueAt, id);
         // The task may cancel its own timer.
-        const std::function<void()> task = due.task;
+        const std::function<void()> task = current.task;
         task();
     }
     this->arm();
@@ -70,11 +70,11 @@
 
 void TimerQueue::arm()
 {
-    if (this->order.empty() || (this->armed && *this->armed <= this->order.begin()->first)) {
+    if (this->timersByDueTime.empty() || (this->wakeAt && *this->wakeAt <= this->timersByDueTime.begin()->first)) {
         return;
     }
-    this->armed = this->order.begin()->first;
-    const auto since = this->armed->time_since_epoch();
+    this->wakeAt = this->timersByDueTime.begin()->first;
+    const auto since = this->wakeAt->time_since_epoch();
     const auto seconds = std::chrono::duration_cast<std::chrono::seconds>(since);
     const itimerspec at{.it_interval = {},
                         .it_value = {.tv_sec = seconds.count(), .tv_nsec = (since - seconds).count()}};
--- a/src/loop/TimerQueue.h
+++ b/src/loop/TimerQueue.h
@@ -10,9 +10,9 @@
 namespace bergamotweir::loop {
 
 /**
- * The timers of one EventLoop, behind one descriptor that becomes readable when the earliest is due.
- * ACE's own timers are not used: its reactor waits in whole milliseconds, rounded down, and so spins through the last
- * millisecond before each timer, which showed as 10 % of a core in an idle process.
+ * The timers of one EventLoop, with one descriptor that becomes readable when the earliest timer is due.
+ * ACE's own timers are not used: its reactor rounds the wait down to whole milliseconds and therefore polls without
+ * waiting during the last millisecond before each timer, which took 10 % of a core in an idle process.
  */
 class TimerQueue
 {
@@ -22,24 +22,24 @@
     TimerQueue(const TimerQueue &) = delete;
     TimerQueue &operator=(const TimerQueue &) = delete;
 
-    /** @return the descriptor to watch for reading; run() is to be called when it is ready */
+    /** @return the descriptor to watch for reading; the caller calls run() when it is readable */
     int descriptor() const;
 
     /**
-     * @param delay from now; negative counts as none
-     * @param interval between repetitions; 0 for none
+     * @param delay time from now; a negative delay counts as 0
+     * @param interval time between repetitions; 0 for a timer that fires once
      */
     TimerId add(std::chrono::nanoseconds delay, std::chrono::nanoseconds interval, std::function<void()> task);
 
-    /** Unknown and fired timers are ignored. */
+    /** Cancels a timer; does nothing if the timer has fired or is unknown. */
     void cancel(TimerId timer);
 
-    /** Runs what is due, in the order of the due times; not what is added meanwhile. */
+    /** Runs the timers that are due, in the order of their due times, but none added meanwhile. */
     void run();
 
 private:
     struct Timer {
-        BootTime due;
+        BootTime dueAt;
         std::chrono::nanoseconds interval;
         std::function<void()> task;
     };
@@ -47,11 +47,11 @@
     void arm();
 
     int timer;
-    TimerId last = 0;
+    TimerId lastId = 0;
     std::map<TimerId, Timer> timers;
-    std::set<std::pair<BootTime, TimerId>> order;
-    /** When the descriptor becomes readable; may be earlier than needed after a cancel. */
-    std::optional<BootTime> armed;
+    std::set<std::pair<BootTime, TimerId>> timersByDueTime;
+    /** When the descriptor becomes readable; may be earlier than the first timer after a cancellation. */
+    std::optional<BootTime> wakeAt;
 };
 
 } // namespace bergamotweir::loop
--- a/src/rpc/Channel.cpp
+++ b/src/rpc/Channel.cpp
@@ -28,7 +28,7 @@
         setMillis(arguments, GRPC_ARG_KEEPALIVE_TIMEOUT_MS, settings.pingTimeout);
         arguments.SetInt(GRPC_ARG_HTTP2_MAX_PINGS_WITHOUT_DATA, 0);
     }
-    // A connection belongs to one user of it: a stalled stream must not hold up another one's.
+    // Each channel has its own connection, so that a stalled stream does not block the streams of other channels.
     arguments.SetInt(GRPC_ARG_USE_LOCAL_SUBCHANNEL_POOL, 1);
     arguments.SetInt(GRPC_ARG_ENABLE_HTTP_PROXY, 0);
     arguments.SetInt(GRPC_ARG_ENABLE_RETRIES, 0);
--- a/src/rpc/ChannelPoller.cpp
+++ b/src/rpc/ChannelPoller.cpp
@@ -6,8 +6,9 @@
 
 namespace {
 
-/** A watch keeps its channel alive, so that a channel that was dropped ends so much later at most. */
-constexpr std::chrono::milliseconds WatchTime{250};
+/** Maximum duration of a watch. A watch keeps its channel alive, so this also bounds how long a dropped channel
+ * remains. */
+constexpr std::chrono::milliseconds MaxWatchTime{250};
 
 } // namespace
 
@@ -24,14 +25,14 @@
     this->thread.join();
 }
 
-/** Each watch ends with an event, so that after Shutdown() the last one ends the thread. */
+/** Runs until the queue is shut down and empty. Each watch ends with an event, so this ends after the last watch. */
 void ChannelPoller::run()
 {
     void *tag = nullptr;
     bool changed = false;
     while (this->queue.Next(&tag, &changed)) {
         const std::lock_guard guard(this->mutex);
-        this->watching.erase(reinterpret_cast<WatchId>(tag));
+        this->activeWatches.erase(reinterpret_cast<WatchId>(tag));
     }
 }
 
@@ -40,18 +41,18 @@
     const WatchId id = ++this->lastId;
     {
         const std::lock_guard guard(this->mutex);
-        this->watching.insert(id);
+        this->activeWatches.insert(id);
     }
-    const auto until = std::chrono::system_clock::now() + WatchTime;
-    // The queue keeps the id in the place of a pointer. NOLINTNEXTLINE(performance-no-int-to-ptr)
-    channel.NotifyOnStateChange(state, until, &this->queue, reinterpret_cast<void *>(id));
+    const auto deadline = std::chrono::system_clock::now() + MaxWatchTime;
+    // The queue takes the id in place of a pointer. NOLINTNEXTLINE(performance-no-int-to-ptr)
+    channel.NotifyOnStateChange(state, deadline, &this->queue, reinterpret_cast<void *>(id));
     return id;
 }
 
 bool ChannelPoller::isWatching(WatchId id) const
 {
     const std::lock_guard guard(this->mutex);
-    return this->watching.contains(id);
+    return this->activeWatches.contains(id);
 }
 
 } // namespace bergamotweir::rpc
--- a/src/rpc/ChannelPoller.h
+++ b/src/rpc/ChannelPoller.h
@@ -11,8 +11,9 @@
 namespace bergamotweir::rpc {
 
 /**
- * Lets channels connect although no call is on them: gRPC goes on with a connection at once only while a thread waits
- * for its events, and otherwise looks every few seconds. Has such a thread; its methods are for the loop's thread.
+ * Lets channels connect without a call in progress: gRPC proceeds with setting up a connection immediately only while a
+ * thread waits for its events, and otherwise polls every few seconds. Owns such a thread; its methods must be called on
+ * the loop's thread.
  */
 class ChannelPoller
 {
@@ -20,12 +21,12 @@
     using WatchId = std::uintptr_t;
 
     ChannelPoller();
-    /** Waits for the watches that are still on, a part of a second at most. */
+    /** Waits for the active watches to end, which takes less than a second. */
     ~ChannelPoller();
     ChannelPoller(const ChannelPoller &) = delete;
     ChannelPoller &operator=(const ChannelPoller &) = delete;
 
-    /** Watches a channel until its state changes, for a part of a second at most. @param state as last seen */
+    /** Watches a channel until its state changes, for less than a second. @param state the state seen last */
     WatchId watch(grpc::Channel &channel, grpc_connectivity_state state);
 
     bool isWatching(WatchId id) const;
@@ -35,7 +36,7 @@
 
     grpc::CompletionQueue queue;
     mutable std::mutex mutex;
-    std::set<WatchId> watching;
+    std::set<WatchId> activeWatches;
     WatchId lastId = 0;
     std::thread thread;
 };
--- a/src/rpc/ClaimClient.cpp
+++ b/src/rpc/ClaimClient.cpp
@@ -16,23 +16,23 @@
 
 namespace {
 
-// One replica may be frozen: it gets this much of the timeout before the next one is asked.
-constexpr std::chrono::milliseconds LongestTry{250};
-constexpr std::chrono::milliseconds PauseBetweenTries{20};
+/** Time-out of an attempt at one replica, which may be frozen, before the next replica is tried. */
+constexpr std::chrono::milliseconds MaxAttemptTime{250};
+constexpr std::chrono::milliseconds RetryBackoff{20};
 
 constexpr loop::Log Log("claim");
 
-bool isAnswer(const wire::ClaimReply &reply)
+bool isFinalReply(const wire::ClaimReply &reply)
 {
     return reply.verdict() != wire::CLAIM_VERDICT_UNAVAILABLE;
 }
 
-bool isAnswer(const wire::OutcomeReply &reply)
+bool isFinalReply(const wire::OutcomeReply &reply)
 {
     return reply.recorded();
 }
 
-/** One call on its way, kept alive by its own callback. */
+/** One call in progress, kept alive by its own callback. */
 template<typename Request, typename Reply>
 struct Call {
     Request request;
@@ -78,13 +78,13 @@
     {
     }
 
-    /** @return the stub of the target, or of the next replica whose connection is ready; nullptr while none is */
+    /** @return the stub of the target, or of the next replica whose connection is ready; nullptr if none is ready */
     std::shared_ptr<wire::Control::Stub> chooseReady()
     {
         const BootTime now = BootClock::now();
-        this->connections.setUp(this->addresses, now);
+        this->connections.connectAll(this->addresses, now);
         for (std::size_t tries = 0; tries <= this->addresses.size(); ++tries) {
-            if (auto stub = this->connections.ready(this->target, now)) {
+            if (auto stub = this->connections.readyStub(this->target, now)) {
                 return stub;
             }
             this->chooseNext({});
@@ -92,10 +92,10 @@
         return nullptr;
     }
 
-    /** @return how long the target has to answer: longer where setting up the connection took long */
-    std::chrono::nanoseconds tryFor() const
+    /** @return how long to wait for an answer of the target: longer if it took long to set up the connection */
+    std::chrono::nanoseconds attemptTimeout() const
     {
-        return std::max<std::chrono::nanoseconds>(LongestTry, this->connections.answerTime(this->target));
+        return std::max<std::chrono::nanoseconds>(MaxAttemptTime, this->connections.maxAnswerTime(this->target));
     }
 
     void chooseNext(const std::string &leader)
@@ -110,8 +110,8 @@
     template<typename Request, typename Reply>
     void attempt(const std::shared_ptr<Call<Request, Reply>> &call)
     {
-        const auto left = call->deadline - BootClock::now();
-        if (left <= std::chrono::nanoseconds(0)) {
+        const auto remaining = call->deadline - BootClock::now();
+        if (remaining <= std::chrono::nanoseconds(0)) {
             setUnavailable(call->reply);
             call->done(call->reply);
             return;
@@ -125,69 +125,69 @@
         call->context = std::make_unique<grpc::ClientContext>();
         call->context->set_deadline(std::chrono::system_clock::now()
                                     + std::chrono::duration_cast<std::chrono::microseconds>(
-                                        std::min<std::chrono::nanoseconds>(left, this->tryFor())));
+                                        std::min<std::chrono::nanoseconds>(remaining, this->attemptTimeout())));
         call->reply.Clear();
         call->replica = this->target;
         {
             const std::lock_guard guard(this->mutex);
-            this->running.insert(call->context.get());
+            this->activeContexts.insert(call->context.get());
         }
-        start(*stub, call, [this, last = call](const grpc::Status &status) mutable {
-            this->finished(std::move(last), status.ok());
+        start(*stub, call, [this, held = call](const grpc::Status &status) mutable {
+            this->postResult(std::move(held), status.ok());
         });
     }
 
-    // On one of gRPC's threads. The call, and with it a reference to the channel, moves to the loop: a channel
-    // whose last reference goes on one of gRPC's callback threads makes gRPC abort the process.
+    // Called on one of gRPC's threads. The call, which holds a reference to the channel, is moved to the loop's thread:
+    // gRPC aborts the process if the last reference to a channel is released on one of its callback threads.
     template<typename Request, typename Reply>
-    void finished(std::shared_ptr<Call<Request, Reply>> call, bool ok)
+    void postResult(std::shared_ptr<Call<Request, Reply>> call, bool ok)
     {
         grpc::ClientContext *const context = call->context.get();
-        this->loop.post([self = this->weak_from_this(), last = std::move(call), ok] {
-            const std::shared_ptr<Parts> still = self.lock();
-            if (still) {
-                still->ended(last, ok);
+        this->loop.post([self = this->weak_from_this(), held = std::move(call), ok] {
+            const std::shared_ptr<Parts> client = self.lock();
+            if (client) {
+                client->handleResult(held, ok);
             }
         });
         const std::lock_guard guard(this->mutex);
-        this->running.erase(context);
-        this->idle.notify_all();
+        this->activeContexts.erase(context);
+        this->allEnded.notify_all();
     }
 
     void cancelAndWait()
     {
         std::unique_lock guard(this->mutex);
-        for (grpc::ClientContext *context : this->running) {
+        for (grpc::ClientContext *context : this->activeContexts) {
             context->TryCancel();
         }
-        this->idle.wait(guard, [this] {
-            return this->running.empty();
+        this->allEnded.wait(guard, [this] {
+            return this->activeContexts.empty();
         });
     }
 
     template<typename Request, typename Reply>
-    void ended(const std::shared_ptr<Call<Request, Reply>> &call, bool ok)
+    void handleResult(const std::shared_ptr<Call<Request, Reply>> &call, bool ok)
     {
-        if (ok && isAnswer(call->reply)) {
+        if (ok && isFinalReply(call->reply)) {
             call->done(call->reply);
             return;
         }
         if (!ok) {
-            // The connection may have stalled while a new one works; a call in progress keeps its channel.
+            // The connection may have stalled while a new one would work. Calls in progress keep their channel.
             Log.event(loop::LogLevel::Warn, "claim not answered").with("replica", call->replica);
-            this->connections.dropReadyBefore(call->begunAt);
+            this->connections.closeReadyBefore(call->begunAt);
         }
         this->chooseNext(ok ? call->reply.leader_address() : std::string());
-        this->attemptAfter(PauseBetweenTries, call);
+        this->attemptAfter(RetryBackoff, call);
     }
 
     template<typename Request, typename Reply>
-    void attemptAfter(std::chrono::milliseconds pause, const std::shared_ptr<Call<Request, Reply>> &call)
+    void attemptAfter(std::chrono::milliseconds delay, const std::shared_ptr<Call<Request, Reply>> &call)
     {
-        this->loop.after(pause, [self = this->weak_from_this(), call] {
-            const std::shared_ptr<Parts> still = self.lock();
-            if (still) {
-                still->attempt(call);
+        this->loop.after(delay, [self = this->weak_from_this(), call] {
+            const std::shared_ptr<Parts> client = self.lock();
+            if (client) {
+                client->attempt(call);
             }
         });
     }
@@ -208,8 +208,8 @@
     std::size_t nextAddress = 1;
     ReplicaConnections connections;
     std::mutex mutex;
-    std::condition_variable idle;
-    std::set<grpc::ClientContext *> running;
+    std::condition_variable allEnded;
+    std::set<grpc::ClientContext *> activeContexts;
 };
 
 ClaimClient::ClaimClient(loop::EventLoop &loop, std::vector<std::string> addresses)
--- a/src/rpc/ControlService.cpp
+++ b/src/rpc/ControlService.cpp
@@ -18,27 +18,29 @@
 
 namespace {
 
-/** Bytes waiting to be written to one agent before its session is given up; more than one full state. */
-constexpr std::size_t MostQueuedBytes = std::size_t{4} * MaxMessageBytes;
+/** Maximum number of bytes queued for one agent, above which its session is closed; larger than a full state. */
+constexpr std::size_t MaxQueuedBytes = std::size_t{4} * MaxMessageBytes;
 
-/** A peer that answers no HTTP/2 ping for so long is gone: its VM was lost without a word. */
-constexpr int KeepaliveMilliseconds = 5000;
+/** Interval and time-out of HTTP/2 pings, which detect a VM that was lost without closing its connections. */
+constexpr int KeepaliveMs = 5000;
 
-/** Sessions and unary calls in progress; each costs memory, and beyond these a replica could not keep up anyway. */
-constexpr std::size_t MostSessions = 16384;
-constexpr std::size_t MostCalls = 16384;
+/** Maximum numbers of sessions and of unary calls in progress. Each uses memory, and a replica is overloaded above
+ * them. */
+constexpr std::size_t MaxSessions = 16384;
+constexpr std::size_t MaxCalls = 16384;
 
-constexpr std::chrono::milliseconds ShutdownPatience{200};
+constexpr std::chrono::milliseconds ShutdownTimeout{200};
 
 /**
- * Messages of this size on, such as full states, are compressed: they are mostly names that recur, and an agent's link
- * may carry no more than 2 Mbit/s. Smaller ones go as they are, as they come often and would gain little.
+ * Minimum size in bytes of messages that are compressed, such as full states: these mostly consist of recurring names,
+ * and the bandwidth of an agent's link may be as low as 2 Mbit/s. Smaller messages are frequent and would shrink
+ * little.
  */
-constexpr std::size_t PackedFrom = 4096;
+constexpr std::size_t MinPackedBytes = 4096;
 
-using Outgoing = std::shared_ptr<const wire::ControlMessage>;
+using OutgoingMessage = std::shared_ptr<const wire::ControlMessage>;
 
-/** One session as gRPC sees it. gRPC calls it on its own threads; it deletes itself when gRPC is done with it. */
+/** The gRPC stream of one session. Its On… methods run on gRPC's threads; it deletes itself in OnDone(). */
 class SessionStream : public grpc::ServerBidiReactor<wire::AgentMessage, wire::ControlMessage>
 {
 public:
@@ -52,7 +54,7 @@
     {
     }
 
-    /** Reads the next message; called once the one before has been handled. */
+    /** Reads the next message; called once the previous one has been handled. */
     void readNext()
     {
         const std::lock_guard guard(this->mutex);
@@ -61,7 +63,7 @@
         }
     }
 
-    void send(Outgoing message)
+    void send(OutgoingMessage message)
     {
         const std::lock_guard guard(this->mutex);
         if (this->closing) {
@@ -69,7 +71,7 @@
         }
         this->queuedBytes += message->ByteSizeLong();
         this->queue.push_back(std::move(message));
-        if (this->queuedBytes > MostQueuedBytes) {
+        if (this->queuedBytes > MaxQueuedBytes) {
             this->finish(grpc::Status(grpc::StatusCode::RESOURCE_EXHAUSTED, "the agent does not read"));
             return;
         }
@@ -150,14 +152,14 @@
     const Handlers handlers;
     std::mutex mutex;
     wire::AgentMessage incoming;
-    std::deque<Outgoing> queue;
+    std::deque<OutgoingMessage> queue;
     std::size_t queuedBytes = 0;
     bool writing = false;
     bool closing = false;
     bool finished = false;
 };
 
-/** One unary call that waits for its answer; finished exactly once, by the answer or when the service stops. */
+/** One unary call in progress. Finished exactly once: with its answer, or with an error when the service stops. */
 template<typename Reply>
 struct PendingCall {
     grpc::ServerUnaryReactor *reactor = nullptr;
@@ -171,7 +173,7 @@
         }
     }
 
-    void abandon()
+    void fail()
     {
         if (this->reactor != nullptr) {
             std::exchange(this->reactor, nullptr)->Finish(grpc::Status(grpc::StatusCode::UNAVAILABLE, "stopping"));
@@ -181,7 +183,7 @@
 
 } // namespace
 
-/** Shared with tasks posted to the loop, which may run after the service has stopped. */
+/** State shared with tasks posted to the loop, which may run after the service has been destroyed. */
 struct ControlService::Parts : wire::Control::CallbackService, std::enable_shared_from_this<ControlService::Parts> {
     struct OpenStream {
         SessionStream *stream = nullptr;
@@ -192,25 +194,25 @@
     ControlServiceEvents events;
     std::unique_ptr<grpc::Server> server;
     int boundPort = 0;
-    /** Guards the members below: streams start and end on gRPC's threads. */
+    /** Guards the members below, as streams start and end on gRPC's threads. */
     std::mutex mutex;
     bool stopped = false;
     std::uint64_t lastSession = 0;
     std::map<std::uint64_t, OpenStream> sessions;
-    std::map<std::uint64_t, std::function<void()>> abandons;
+    std::map<std::uint64_t, std::function<void()>> pendingFailures;
     std::uint64_t lastCall = 0;
-    /** The message that was packed last, as it goes to many sessions one after the other. */
-    std::weak_ptr<const wire::ControlMessage> lastPlain;
-    Outgoing lastPacked;
+    /** The message that was packed last: the same message is often sent to many sessions in a row. */
+    std::weak_ptr<const wire::ControlMessage> lastUnpacked;
+    OutgoingMessage lastPacked;
 
-    /** @return what is written for a message: itself, or large ones packed once for all sessions */
-    Outgoing packedOnce(const Outgoing &message)
+    /** @return the message to write: @p message itself, or, if it is large, its packed form, shared by all sessions */
+    OutgoingMessage packForSending(const OutgoingMessage &message)
     {
-        if (message->ByteSizeLong() < PackedFrom) {
+        if (message->ByteSizeLong() < MinPackedBytes) {
             return message;
         }
-        if (this->lastPlain.lock() != message) {
-            this->lastPlain = message;
+        if (this->lastUnpacked.lock() != message) {
+            this->lastUnpacked = message;
             this->lastPacked = pack(*message);
         }
         return this->lastPacked == nullptr ? message : this->lastPacked;
@@ -252,26 +254,26 @@
 ControlService::Parts::Session(grpc::CallbackServerContext *)
 {
     const std::lock_guard guard(this->mutex);
-    const std::uint64_t name = ++this->lastSession;
+    const std::uint64_t sessionId = ++this->lastSession;
     SessionStream::Handlers handlers;
     const std::weak_ptr<Parts> weak = this->weak_from_this();
-    handlers.received = [weak, name](SessionStream *, wire::AgentMessage message) {
+    handlers.received = [weak, sessionId](SessionStream *, wire::AgentMessage message) {
         if (const std::shared_ptr<Parts> parts = weak.lock(); parts != nullptr) {
-            parts->loop->post([weak, name, message = std::move(message)] {
+            parts->loop->post([weak, sessionId, message = std::move(message)] {
                 if (const std::shared_ptr<Parts> alive = weak.lock(); alive != nullptr) {
-                    alive->received(name, message);
+                    alive->received(sessionId, message);
                 }
             });
         }
     };
-    handlers.done = [weak, name](SessionStream *) {
+    handlers.done = [weak, sessionId](SessionStream *) {
         if (const std::shared_ptr<Parts> parts = weak.lock(); parts != nullptr) {
-            parts->ended(name);
+            parts->ended(sessionId);
         }
     };
     auto *const stream = new SessionStream(std::move(handlers));
-    this->sessions[name].stream = stream;
-    if (this->stopped || this->sessions.size() > MostSessions) {
+    this->sessions[sessionId].stream = stream;
+    if (this->stopped || this->sessions.size() > MaxSessions) {
         stream->abort();
     }
     stream->readNext();
@@ -280,20 +282,20 @@
 
 void ControlService::Parts::received(std::uint64_t session, const wire::AgentMessage &message)
 {
-    bool opens = false;
+    bool isFirstMessage = false;
     {
         const std::lock_guard guard(this->mutex);
         const auto found = this->sessions.find(session);
         if (this->stopped || found == this->sessions.end()) {
             return;
         }
-        opens = !std::exchange(found->second.opened, true);
-        if (opens && !message.has_hello()) {
+        isFirstMessage = !std::exchange(found->second.opened, true);
+        if (isFirstMessage && !message.has_hello()) {
             found->second.stream->close();
             return;
         }
     }
-    if (opens) {
+    if (isFirstMessage) {
         this->events.opened(session, message.hello());
     } else {
         this->events.message(session, message);
@@ -309,9 +311,9 @@
 {
     const std::lock_guard guard(this->mutex);
     const auto found = this->sessions.find(session);
-    const bool tell = found->second.opened && !this->stopped;
+    const bool shouldNotify = found->second.opened && !this->stopped;
     this->sessions.erase(found);
-    if (tell) {
+    if (shouldNotify) {
         this->loop->post([weak = this->weak_from_this(), session] {
             if (const std::shared_ptr<Parts> parts = weak.lock(); parts != nullptr && !parts->stopped) {
                 parts->events.closed(session);
@@ -332,26 +334,26 @@
     pending->reactor = reactor;
     pending->reply = reply;
     const std::lock_guard guard(this->mutex);
-    if (this->stopped || this->abandons.size() >= MostCalls) {
-        pending->abandon();
+    if (this->stopped || this->pendingFailures.size() >= MaxCalls) {
+        pending->fail();
         return reactor;
     }
-    const std::uint64_t name = ++this->lastCall;
-    this->abandons[name] = [pending] {
-        pending->abandon();
+    const std::uint64_t callId = ++this->lastCall;
+    this->pendingFailures[callId] = [pending] {
+        pending->fail();
     };
-    this->loop->post([weak = this->weak_from_this(), pending, name, request = *request, handler] {
+    this->loop->post([weak = this->weak_from_this(), pending, callId, request = *request, handler] {
         const std::shared_ptr<Parts> parts = weak.lock();
         if (parts == nullptr || pending->reactor == nullptr) {
             return;
         }
-        (parts->events.*handler)(request, [weak, pending, name](Reply value) {
+        (parts->events.*handler)(request, [weak, pending, callId](Reply value) {
             const std::shared_ptr<Parts> alive = weak.lock();
             if (alive == nullptr) {
                 return;
             }
             const std::lock_guard lock(alive->mutex);
-            alive->abandons.erase(name);
+            alive->pendingFailures.erase(callId);
             pending->answer(std::move(value));
         });
     });
@@ -373,8 +375,8 @@
     builder.SetMaxSendMessageSize(MaxMessageBytes);
     // A second replica on the same port must fail to start, not share the port.
     builder.AddChannelArgument(GRPC_ARG_ALLOW_REUSEPORT, 0);
-    builder.AddChannelArgument(GRPC_ARG_KEEPALIVE_TIME_MS, KeepaliveMilliseconds);
-    builder.AddChannelArgument(GRPC_ARG_KEEPALIVE_TIMEOUT_MS, KeepaliveMilliseconds);
+    builder.AddChannelArgument(GRPC_ARG_KEEPALIVE_TIME_MS, KeepaliveMs);
+    builder.AddChannelArgument(GRPC_ARG_KEEPALIVE_TIMEOUT_MS, KeepaliveMs);
     builder.RegisterService(parts.get());
     parts->server = builder.BuildAndStart();
     if (parts->server == nullptr || parts->boundPort == 0) {
@@ -393,15 +395,15 @@
     {
         const std::lock_guard guard(this->parts->mutex);
         this->parts->stopped = true;
-        for (const auto &[name, session] : this->parts->sessions) {
+        for (const auto &[sessionId, session] : this->parts->sessions) {
             session.stream->abort();
         }
-        for (const auto &[name, abandon] : this->parts->abandons) {
-            abandon();
+        for (const auto &[callId, fail] : this->parts->pendingFailures) {
+            fail();
         }
-        this->parts->abandons.clear();
+        this->parts->pendingFailures.clear();
     }
-    this->parts->server->Shutdown(std::chrono::system_clock::now() + ShutdownPatience);
+    this->parts->server->Shutdown(std::chrono::system_clock::now() + ShutdownTimeout);
     this->parts->server.reset();
 }
 
@@ -415,7 +417,7 @@
     const std::lock_guard guard(this->parts->mutex);
     const auto found = this->parts->sessions.find(session);
     if (found != this->parts->sessions.end()) {
-        found->second.stream->send(this->parts->packedOnce(message));
+        found->second.stream->send(this->parts->packForSending(message));
     }
 }
 
--- a/src/rpc/ControlSession.cpp
+++ b/src/rpc/ControlSession.cpp
@@ -16,21 +16,21 @@
 
 namespace {
 
-// An agent that cannot get rid of its messages starts a new session rather than growing.
+/** Maximum number of messages that wait to be sent; above it the session is cancelled, so that memory is bounded. */
 constexpr std::size_t MaxQueuedMessages = 4096;
 
-/** How long a replica that is due is waited for before one that was asked since is asked again. */
-constexpr std::chrono::milliseconds RepeatAfter{300};
+/** How long to wait for the connection to the least recently asked replica before another one is asked again. */
+constexpr std::chrono::milliseconds RepeatDelay{300};
 
 constexpr loop::Log Log("session");
 
 } // namespace
 
 /**
- * One gRPC stream. gRPC calls it on its own threads; what it hears is posted to the loop.
- * Owned by the session alone, which frees it on the loop's thread once gRPC is done with it: a channel whose last
- * reference goes on one of gRPC's callback threads makes gRPC abort the process (a failed reference count in its
- * callback queue, one start in fifteen under load).
+ * One gRPC stream. Its On… methods run on gRPC's threads; received messages are posted to the loop.
+ * Owned by the session alone, which frees it on the loop's thread after OnDone(): gRPC aborts the process if the last
+ * reference to a channel is released on one of its callback threads (a reference count check failed in its callback
+ * queue at one start in fifteen under load).
  */
 class ControlSession::Stream : public grpc::ClientBidiReactor<wire::AgentMessage, wire::ControlMessage>
 {
@@ -85,7 +85,7 @@
         return this->isDone;
     }
 
-    /** Waits until gRPC is done; only after cancel(). */
+    /** Waits until OnDone() has run; to be called only after cancel(). */
     void waitDone()
     {
         std::unique_lock guard(this->mutex);
@@ -102,7 +102,7 @@
             return;
         }
         if (!unpack(this->incoming)) {
-            Log.error("a packed message can't be read; the session ends");
+            Log.error("received a packed message that cannot be decoded; closing the session");
             this->cancel();
             return;
         }
@@ -172,9 +172,9 @@
     this->silenceTimer = this->loop.every(this->timeouts.silenceTimeout / 4, [this] {
         this->checkSilence();
     });
-    this->loop.post([this, life = std::weak_ptr<bool>(this->alive)] {
-        if (!life.expired()) {
-            this->seek();
+    this->loop.post([this, aliveToken = std::weak_ptr<bool>(this->alive)] {
+        if (!aliveToken.expired()) {
+            this->askNextReplica();
         }
     });
 }
@@ -183,13 +183,13 @@
 {
     this->alive.reset();
     this->loop.cancel(this->silenceTimer);
-    this->loop.cancel(this->seekTimer);
+    this->loop.cancel(this->askTimer);
     if (this->stream) {
         this->stream->cancel();
-        this->leaving.push_back(std::move(this->stream));
+        this->cancelledStreams.push_back(std::move(this->stream));
     }
-    for (const std::unique_ptr<Stream> &left : this->leaving) {
-        left->waitDone();
+    for (const std::unique_ptr<Stream> &cancelled : this->cancelledStreams) {
+        cancelled->waitDone();
     }
 }
 
@@ -219,47 +219,47 @@
     return address == this->avoidedAddress && BootClock::now() < this->avoidedUntil;
 }
 
-/** Asks the next replica whose connection is ready; one whose connection isn't costs no time. */
-void ControlSession::seek()
+/** Asks the next replica whose connection is ready, without waiting for connections that are not. */
+void ControlSession::askNextReplica()
 {
     const BootTime now = BootClock::now();
-    this->connections->setUp(this->addresses, now);
+    this->connections->connectAll(this->addresses, now);
     if (auto stub = this->chooseReady(now)) {
         this->connect(this->currentAddress, std::move(stub));
         return;
     }
-    this->seekTimer = this->loop.after(ReplicaConnections::PollInterval, [this] {
-        this->seek();
+    this->askTimer = this->loop.after(ReplicaConnections::PollInterval, [this] {
+        this->askNextReplica();
     });
 }
 
-/** @return the stub of the replica to ask now, whose address is the current one; nullptr while none is ready */
+/** Sets the current address to the replica to ask now. @return its stub; nullptr if there is none to ask yet */
 std::shared_ptr<wire::Control::Stub> ControlSession::chooseReady(BootTime now)
 {
-    if (!this->namedLeader.empty() && !this->isAvoided(this->namedLeader)) {
-        if (auto stub = this->connections->ready(this->namedLeader, now)) {
-            this->currentAddress = std::exchange(this->namedLeader, {});
+    if (!this->redirectTarget.empty() && !this->isAvoided(this->redirectTarget)) {
+        if (auto stub = this->connections->readyStub(this->redirectTarget, now)) {
+            this->currentAddress = std::exchange(this->redirectTarget, {});
             return stub;
         }
     }
     const std::string *chosen = nullptr;
     std::shared_ptr<wire::Control::Stub> stub;
-    BootTime longestAgo = BootTime::max();
-    for (std::size_t place = 0; place < this->addresses.size(); ++place) {
-        const std::string &address = this->addresses[(this->firstAddress + place) % this->addresses.size()];
+    BootTime oldestAskedAt = BootTime::max();
+    for (std::size_t offset = 0; offset < this->addresses.size(); ++offset) {
+        const std::string &address = this->addresses[(this->firstAddress + offset) % this->addresses.size()];
         if (this->isAvoided(address) && this->addresses.size() > 1) {
             continue;
         }
-        longestAgo = std::min(longestAgo, this->askedAt[address]);
-        auto ready = this->connections->ready(address, now);
+        oldestAskedAt = std::min(oldestAskedAt, this->askedAt[address]);
+        auto ready = this->connections->readyStub(address, now);
         if (ready && (chosen == nullptr || this->askedAt[address] < this->askedAt[*chosen])) {
             chosen = &address;
             stub = std::move(ready);
         }
     }
-    // The connection of the one that is due may be ready in a moment.
-    const bool repeats = chosen != nullptr && this->askedAt[*chosen] > longestAgo;
-    if (chosen == nullptr || (repeats && now < this->leftAt + RepeatAfter)) {
+    // The connection to the least recently asked replica may become ready within RepeatDelay.
+    const bool isRepeat = chosen != nullptr && this->askedAt[*chosen] > oldestAskedAt;
+    if (chosen == nullptr || (isRepeat && now < this->disconnectedAt + RepeatDelay)) {
         return nullptr;
     }
     this->currentAddress = *chosen;
@@ -268,58 +268,59 @@
 
 std::chrono::nanoseconds ControlSession::currentOpenTimeout() const
 {
-    const std::chrono::nanoseconds expected = this->connections->answerTime(this->currentAddress);
-    return std::max<std::chrono::nanoseconds>(exponentialDelay(this->timeouts.openTimeout, this->unanswered), expected);
+    const std::chrono::nanoseconds expected = this->connections->maxAnswerTime(this->currentAddress);
+    return std::max<std::chrono::nanoseconds>(exponentialDelay(this->timeouts.openTimeout, this->unansweredRequests),
+                                              expected);
 }
 
 void ControlSession::connect(const std::string &address, std::shared_ptr<wire::Control::Stub> stub)
 {
     this->disconnect();
-    const SessionId name = ++this->session;
+    const SessionId id = ++this->session;
     this->accepted = false;
-    this->lastHeard = BootClock::now();
-    this->searchStartedAt = this->lastHeard;
+    this->lastReceivedAt = BootClock::now();
+    this->searchStartedAt = this->lastReceivedAt;
     this->askedAt[address] = this->searchStartedAt;
-    const std::weak_ptr<bool> life = this->alive;
+    const std::weak_ptr<bool> aliveToken = this->alive;
     Log.event(loop::LogLevel::Info, "session sought")
         .with("replica", address)
         .with("setup_ms", this->connections->setUpTime(address))
         .with("failures", this->failures);
     this->stream = std::make_unique<Stream>(
         std::move(stub),
-        [this, life, name, &target = this->loop](wire::ControlMessage message) {
-            target.post([this, life, name, message = std::move(message)]() mutable {
-                if (!life.expired()) {
-                    this->received(name, std::move(message));
+        [this, aliveToken, id, &target = this->loop](wire::ControlMessage message) {
+            target.post([this, aliveToken, id, message = std::move(message)]() mutable {
+                if (!aliveToken.expired()) {
+                    this->handleMessage(id, std::move(message));
                 }
             });
         },
-        [this, life, name, &target = this->loop] {
-            target.post([this, life, name] {
-                if (!life.expired()) {
-                    this->streamEnded(name);
+        [this, aliveToken, id, &target = this->loop] {
+            target.post([this, aliveToken, id] {
+                if (!aliveToken.expired()) {
+                    this->streamEnded(id);
                 }
             });
         });
     wire::AgentMessage first;
     *first.mutable_hello() = this->events.hello();
     this->stream->start(first);
-    this->loop.after(this->currentOpenTimeout(), [this, life, name] {
-        if (!life.expired()) {
-            this->checkOpening(name);
+    this->loop.after(this->currentOpenTimeout(), [this, aliveToken, id] {
+        if (!aliveToken.expired()) {
+            this->checkOpenTimeout(id);
         }
     });
 }
 
-// Guards against a long time without a leader while some VMs are down: each of them takes the silence that an open
-// session may have, and agents that met two in a row served their old routes for seven seconds.
-void ControlSession::checkOpening(SessionId name)
+// Guards against a long time without a leader while some VMs are down: with the silence time-out of an open session for
+// each of them, agents that asked two such VMs in a row served outdated routes for seven seconds.
+void ControlSession::checkOpenTimeout(SessionId id)
 {
-    if (name == this->session && this->stream && !this->opened && !this->accepted) {
+    if (id == this->session && this->stream && !this->opened && !this->accepted) {
         this->logDisconnect("no answer");
-        ++this->unanswered;
-        this->connections->dropReadyBefore(this->searchStartedAt);
-        this->ended(name);
+        ++this->unansweredRequests;
+        this->connections->closeReadyBefore(this->searchStartedAt);
+        this->handleEnd(id);
     }
 }
 
@@ -328,10 +329,10 @@
     if (!this->stream) {
         return;
     }
-    this->leftAt = BootClock::now();
+    this->disconnectedAt = BootClock::now();
     this->stream->cancel();
     this->freeEndedStreams();
-    this->leaving.push_back(std::move(this->stream));
+    this->cancelledStreams.push_back(std::move(this->stream));
     this->stream.reset();
     if (this->opened) {
         this->opened = false;
@@ -339,34 +340,34 @@
     }
 }
 
-/** Asks the leader that the present replica named; where its connection isn't ready, after a pause. */
-void ControlSession::follow(const std::string &leader)
+/** Asks the leader that the current replica named; after a backoff if the connection to it is not ready. */
+void ControlSession::followRedirect(const std::string &leader)
 {
-    this->namedLeader = leader;
-    if (!this->connections->ready(leader, BootClock::now())) {
+    this->redirectTarget = leader;
+    if (!this->connections->readyStub(leader, BootClock::now())) {
         this->logDisconnect("names a leader without a connection");
-        this->ended(this->session);
+        this->handleEnd(this->session);
         return;
     }
     this->disconnect();
-    this->seek();
+    this->askNextReplica();
 }
 
-void ControlSession::received(SessionId name, wire::ControlMessage message)
+void ControlSession::handleMessage(SessionId id, wire::ControlMessage message)
 {
-    if (name != this->session || !this->stream) {
+    if (id != this->session || !this->stream) {
         return;
     }
-    this->lastHeard = BootClock::now();
-    this->unanswered = 0;
+    this->lastReceivedAt = BootClock::now();
+    this->unansweredRequests = 0;
     if (message.has_redirect()) {
         const std::string leader = message.redirect().leader_address();
         if (leader.empty() || leader == this->currentAddress || this->isAvoided(leader)) {
             this->logDisconnect(leader.empty() ? "knows no leader" : "names an unusable leader");
-            this->ended(name);
+            this->handleEnd(id);
             return;
         }
-        this->follow(leader);
+        this->followRedirect(leader);
         return;
     }
     if (message.has_accepted()) {
@@ -377,19 +378,19 @@
         this->opened = true;
         Log.event(loop::LogLevel::Info, "session open")
             .with("replica", this->currentAddress)
-            .with("took_ms", this->lastHeard - this->searchStartedAt);
+            .with("took_ms", this->lastReceivedAt - this->searchStartedAt);
         this->failures = 0;
-        this->namedLeader.clear();
+        this->redirectTarget.clear();
         this->connections->keepOnly(this->currentAddress);
-        this->events.opened(name);
+        this->events.opened(id);
     }
-    this->events.message(name, std::move(message));
+    this->events.message(id, std::move(message));
 }
 
 void ControlSession::freeEndedStreams()
 {
-    std::erase_if(this->leaving, [](const std::unique_ptr<Stream> &left) {
-        return left->hasEnded();
+    std::erase_if(this->cancelledStreams, [](const std::unique_ptr<Stream> &cancelled) {
+        return cancelled->hasEnded();
     });
 }
 
@@ -400,34 +401,34 @@
         .with("why", why)
         .with("opened", this->opened)
         .with("accepted", this->accepted)
-        .with("silent_ms", BootClock::now() - this->lastHeard)
+        .with("silent_ms", BootClock::now() - this->lastReceivedAt)
         .with("took_ms", BootClock::now() - this->searchStartedAt);
 }
 
-void ControlSession::streamEnded(SessionId name)
+void ControlSession::streamEnded(SessionId id)
 {
-    if (name == this->session && this->stream) {
+    if (id == this->session && this->stream) {
         this->logDisconnect("stream ended");
     }
-    this->ended(name);
+    this->handleEnd(id);
 }
 
-void ControlSession::ended(SessionId name)
+void ControlSession::handleEnd(SessionId id)
 {
-    // A stream that was left tells of its end later.
-    if (name != this->session || !this->stream) {
+    // The end of a cancelled stream is reported after the next session may have started.
+    if (id != this->session || !this->stream) {
         return;
     }
     this->failures += this->opened ? 0 : 1;
     this->disconnect();
-    this->loop.cancel(this->seekTimer);
-    const auto pause = nextBackoff(this->timeouts.retryBackoff, std::max(this->failures, 1U), this->random);
-    this->seekTimer = this->loop.after(pause, [this] {
-        this->seek();
+    this->loop.cancel(this->askTimer);
+    const auto backoff = nextBackoff(this->timeouts.retryBackoff, std::max(this->failures, 1U), this->random);
+    this->askTimer = this->loop.after(backoff, [this] {
+        this->askNextReplica();
     });
 }
 
-/** @return how long the replica may say nothing; a state that comes slowly is waited for longer after each failure */
+/** @return how long the replica may send nothing; while the full state is awaited, longer after each failure */
 std::chrono::milliseconds ControlSession::maxSilence() const
 {
     if (this->opened || !this->accepted) {
@@ -438,20 +439,20 @@
         this->failures);
 }
 
-// Guards against a leader that is frozen or behind a silent partition: its TCP connection stays up and nothing
-// arrives, so the agent's lease would end although another leader was elected long ago. Every renewal is answered,
-// hence silence longer than two renewals means that this replica cannot confirm itself.
+// Guards against a leader that is frozen or partitioned: its TCP connection stays up without any message, so the
+// agent's lease would expire although another leader was elected long ago. Every renewal is answered, hence silence for
+// longer than two renewals means that this replica cannot confirm that it is the leader.
 void ControlSession::checkSilence()
 {
     this->freeEndedStreams();
-    if (!this->stream || BootClock::now() - this->lastHeard < this->maxSilence()) {
+    if (!this->stream || BootClock::now() - this->lastReceivedAt < this->maxSilence()) {
         return;
     }
     this->logDisconnect("silent");
-    this->connections->dropReadyBefore(std::max(this->searchStartedAt, this->lastHeard));
+    this->connections->closeReadyBefore(std::max(this->searchStartedAt, this->lastReceivedAt));
     this->avoidedAddress = this->currentAddress;
     this->avoidedUntil = BootClock::now() + this->timeouts.avoidFor;
-    this->ended(this->session);
+    this->handleEnd(this->session);
 }
 
 } // namespace bergamotweir::rpc
--- a/src/rpc/OperatorClient.cpp
+++ b/src/rpc/OperatorClient.cpp
@@ -13,39 +13,39 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds LongestConnect{300};
-constexpr std::chrono::milliseconds LongestTry{2000};
-constexpr std::chrono::milliseconds PauseBetweenTries{50};
+constexpr std::chrono::milliseconds MaxConnectTime{300};
+constexpr std::chrono::milliseconds MaxAttemptTime{2000};
+constexpr std::chrono::milliseconds RetryBackoff{50};
 
-/** How one try at one replica went. */
-struct Try {
+/** Result of one attempt at one replica. */
+struct Attempt {
     bool sent = false;
     bool answered = false;
     wire::OperatorReply reply;
 };
 
-std::chrono::system_clock::time_point wallDeadline(std::chrono::nanoseconds left, std::chrono::milliseconds most)
+std::chrono::system_clock::time_point wallDeadline(std::chrono::nanoseconds remaining, std::chrono::milliseconds limit)
 {
-    const auto used = std::min<std::chrono::nanoseconds>(left, most);
-    return std::chrono::system_clock::now() + std::chrono::duration_cast<std::chrono::microseconds>(used);
+    const auto timeout = std::min<std::chrono::nanoseconds>(remaining, limit);
+    return std::chrono::system_clock::now() + std::chrono::duration_cast<std::chrono::microseconds>(timeout);
 }
 
-Try tryReplica(const std::string &address, const wire::OperatorRequest &request, BootTime deadline)
+Attempt attemptReplica(const std::string &address, const wire::OperatorRequest &request, BootTime deadline)
 {
-    Try result;
+    Attempt attempt;
     const std::shared_ptr<grpc::Channel> channel = openChannel(address);
-    if (!channel->WaitForConnected(wallDeadline(deadline - BootClock::now(), LongestConnect))) {
-        return result;
+    if (!channel->WaitForConnected(wallDeadline(deadline - BootClock::now(), MaxConnectTime))) {
+        return attempt;
     }
     grpc::ClientContext context;
-    context.set_deadline(wallDeadline(deadline - BootClock::now(), LongestTry));
-    result.sent = true;
-    result.answered = wire::Control::NewStub(channel)->Operate(&context, request, &result.reply).ok();
-    return result;
+    context.set_deadline(wallDeadline(deadline - BootClock::now(), MaxAttemptTime));
+    attempt.sent = true;
+    attempt.answered = wire::Control::NewStub(channel)->Operate(&context, request, &attempt.reply).ok();
+    return attempt;
 }
 
 wire::OperatorReply
-givenUp(wire::OperatorStatus status, const std::vector<std::string> &addresses, const std::string &message)
+failedReply(wire::OperatorStatus status, const std::vector<std::string> &addresses, const std::string &message)
 {
     wire::OperatorReply reply;
     reply.set_status(status);
@@ -66,26 +66,26 @@
     const BootTime deadline = BootClock::now() + timeout;
     std::string target = addresses.front();
     std::size_t next = 1;
-    bool maybeReceived = false;
+    bool mayHaveBeenReceived = false;
     while (BootClock::now() < deadline) {
-        const Try result = tryReplica(target, request, deadline);
-        const bool notLeader = result.answered && result.reply.status() == wire::OPERATOR_STATUS_NOT_LEADER;
-        if (result.answered && !notLeader) {
-            return result.reply;
+        const Attempt attempt = attemptReplica(target, request, deadline);
+        const bool notLeader = attempt.answered && attempt.reply.status() == wire::OPERATOR_STATUS_NOT_LEADER;
+        if (attempt.answered && !notLeader) {
+            return attempt.reply;
         }
-        maybeReceived = maybeReceived || (result.sent && !result.answered);
-        const std::string leader = notLeader ? result.reply.leader_address() : std::string();
+        mayHaveBeenReceived = mayHaveBeenReceived || (attempt.sent && !attempt.answered);
+        const std::string leader = notLeader ? attempt.reply.leader_address() : std::string();
         if (!leader.empty() && leader != target) {
             target = leader;
             continue;
         }
         target = addresses[next++ % addresses.size()];
-        std::this_thread::sleep_for(PauseBetweenTries);
+        std::this_thread::sleep_for(RetryBackoff);
     }
-    if (maybeReceived) {
-        return givenUp(wire::OPERATOR_STATUS_UNKNOWN, addresses, "no answer in time; the outcome is not known");
+    if (mayHaveBeenReceived) {
+        return failedReply(wire::OPERATOR_STATUS_UNKNOWN, addresses, "no answer in time; the outcome is not known");
     }
-    return givenUp(wire::OPERATOR_STATUS_REFUSED, addresses, "no leader could be reached in time");
+    return failedReply(wire::OPERATOR_STATUS_REFUSED, addresses, "no leader could be reached in time");
 }
 
 } // namespace bergamotweir::rpc
--- a/src/rpc/PackedMessage.cpp
+++ b/src/rpc/PackedMessage.cpp
@@ -49,10 +49,10 @@
     std::string plain(packed.bytes(), '\0');
     uLongf size = plain.size();
     const std::string &compressed = packed.compressed();
-    const bool readable =
+    const bool isReadable =
         uncompress(bytesOf(plain), &size, bytesOf(compressed), compressed.size()) == Z_OK && size == plain.size();
-    // Nothing packed may hold another packed message.
-    return readable && message.ParseFromString(plain) && !message.has_packed();
+    // A packed message must not contain another packed message.
+    return isReadable && message.ParseFromString(plain) && !message.has_packed();
 }
 
 } // namespace bergamotweir::rpc
--- a/src/rpc/PackedMessage.h
+++ b/src/rpc/PackedMessage.h
@@ -7,14 +7,14 @@
 namespace bergamotweir::rpc {
 
 /**
- * Compresses a message so that its bytes can be shared by all sessions that it is sent on.
- * @return a message that unpack() turns into @p message, or nullptr when it can't be compressed
+ * Compresses a message; the result can be sent on any number of sessions.
+ * @return a message that unpack() turns into @p message, or nullptr if it can't be compressed
  */
 std::shared_ptr<const wire::ControlMessage> pack(const wire::ControlMessage &message);
 
 /**
- * Replaces a packed message by what it holds; leaves others as they are.
- * @return false when it can't be read or is larger than a message may be
+ * Replaces a packed message by its content; leaves other messages unchanged.
+ * @return false if it can't be decoded or its content exceeds MaxMessageBytes
  */
 bool unpack(wire::ControlMessage &message);
 
--- a/src/rpc/RaftTransport.cpp
+++ b/src/rpc/RaftTransport.cpp
@@ -18,34 +18,37 @@
 
 namespace {
 
-/** Messages waiting for one peer; the oldest go first, as newer ones say more. */
-constexpr std::size_t MaxQueued = 1024;
+/** Maximum number of messages queued for one peer; the oldest are dropped first, as newer ones supersede them. */
+constexpr std::size_t MaxQueuedPerPeer = 1024;
 
-/** Messages received and not yet handled by the loop; more are dropped. */
-constexpr int MaxReceived = 4096;
+/** Maximum number of messages received but not yet handled by the loop; further messages are dropped. */
+constexpr int MaxUnhandled = 4096;
 
-/** Least time between two tries to reach a peer. */
-constexpr std::chrono::milliseconds ReconnectPause{50};
+/** Minimum time between two attempts to reach a peer. */
+constexpr std::chrono::milliseconds ReconnectBackoff{50};
 
-/** A silent partition must not hold a stream until TCP gives up: pings find it within about two seconds. */
+/** Pings detect a partition within about two seconds; otherwise a stream would stall until TCP times out. */
 constexpr std::chrono::milliseconds PingInterval{1000};
 constexpr std::chrono::milliseconds PingTimeout{1000};
 constexpr std::chrono::milliseconds ConnectTimeout{500};
 constexpr std::chrono::milliseconds MaxReconnectBackoff{100};
 
-/** True while the transport lives; read and written on the loop's thread only. */
+/** True until the transport is destroyed; read and written on the loop's thread only. */
 using Alive = std::shared_ptr<bool>;
 
 /** Reads one incoming stream and posts each message to the loop. Deletes itself. */
-class Incoming : public grpc::ServerReadReactor<wire::RaftMessage>
+class IncomingStream : public grpc::ServerReadReactor<wire::RaftMessage>
 {
 public:
     using Handler = std::function<void(const wire::RaftMessage &)>;
 
-    Incoming(loop::EventLoop &loop, Alive alive, std::shared_ptr<std::atomic<int>> waiting, const Handler &handler)
+    IncomingStream(loop::EventLoop &loop,
+                   Alive alive,
+                   std::shared_ptr<std::atomic<int>> unhandled,
+                   const Handler &handler)
         : loop(loop)
         , alive(std::move(alive))
-        , waiting(std::move(waiting))
+        , unhandled(std::move(unhandled))
         , handler(handler)
     {
         this->StartRead(&this->message);
@@ -57,16 +60,16 @@
             this->Finish(grpc::Status::OK);
             return;
         }
-        if (this->waiting->fetch_add(1) < MaxReceived) {
+        if (this->unhandled->fetch_add(1) < MaxUnhandled) {
             auto received = std::make_shared<wire::RaftMessage>(std::move(this->message));
-            this->loop.post([received, alive = this->alive, waiting = this->waiting, handler = &this->handler] {
-                waiting->fetch_sub(1);
+            this->loop.post([received, alive = this->alive, unhandled = this->unhandled, handler = &this->handler] {
+                unhandled->fetch_sub(1);
                 if (*alive) {
                     (*handler)(*received);
                 }
             });
         } else {
-            this->waiting->fetch_sub(1);
+            this->unhandled->fetch_sub(1);
         }
         this->message.Clear();
         this->StartRead(&this->message);
@@ -80,7 +83,7 @@
 private:
     loop::EventLoop &loop;
     const Alive alive;
-    const std::shared_ptr<std::atomic<int>> waiting;
+    const std::shared_ptr<std::atomic<int>> unhandled;
     const Handler &handler;
     wire::RaftMessage message;
 };
@@ -88,7 +91,7 @@
 class Service : public wire::RaftTransport::CallbackService
 {
 public:
-    Service(loop::EventLoop &loop, Alive alive, Incoming::Handler handler)
+    Service(loop::EventLoop &loop, Alive alive, IncomingStream::Handler handler)
         : loop(loop)
         , alive(std::move(alive))
         , handler(std::move(handler))
@@ -97,17 +100,17 @@
 
     grpc::ServerReadReactor<wire::RaftMessage> *Deliver(grpc::CallbackServerContext *, wire::Delivered *) override
     {
-        return new Incoming(this->loop, this->alive, this->waiting, this->handler);
+        return new IncomingStream(this->loop, this->alive, this->unhandled, this->handler);
     }
 
 private:
     loop::EventLoop &loop;
     const Alive alive;
-    const Incoming::Handler handler;
-    const std::shared_ptr<std::atomic<int>> waiting = std::make_shared<std::atomic<int>>(0);
+    const IncomingStream::Handler handler;
+    const std::shared_ptr<std::atomic<int>> unhandled = std::make_shared<std::atomic<int>>(0);
 };
 
-/** Counts streams whose end gRPC still has to tell. */
+/** Counts the streams whose OnDone() has not run yet. */
 struct OpenStreams {
     std::mutex mutex;
     std::condition_variable ended;
@@ -115,14 +118,15 @@
 };
 
 /**
- * One outgoing stream. Keeps itself until gRPC has told its end.
- * Guards against a write on a stream that gRPC has ended meanwhile on its own thread, which reads freed memory and
- * brings the process down: a hold keeps gRPC from ending it before release(), which only the loop's thread calls.
+ * One outgoing stream. Holds a reference to itself until OnDone().
+ * Guards against a write on a stream that gRPC has ended meanwhile on its own thread, which would read freed memory and
+ * crash the process: a hold keeps gRPC from ending the stream before release(), which is called on the loop's thread
+ * only.
  */
-class Outgoing : public grpc::ClientWriteReactor<wire::RaftMessage>
+class OutgoingStream : public grpc::ClientWriteReactor<wire::RaftMessage>
 {
 public:
-    Outgoing(wire::RaftTransport::Stub &stub, OpenStreams &streams, std::function<void(bool ok)> written)
+    OutgoingStream(wire::RaftTransport::Stub &stub, OpenStreams &streams, std::function<void(bool ok)> written)
         : streams(streams)
         , written(std::move(written))
     {
@@ -133,7 +137,7 @@
         stub.async()->Deliver(&this->context, &this->delivered, this);
     }
 
-    void start(std::shared_ptr<Outgoing> self)
+    void start(std::shared_ptr<OutgoingStream> self)
     {
         this->self = std::move(self);
         this->AddHold();
@@ -158,13 +162,13 @@
         this->written(ok);
     }
 
-    // Freed before it is counted as ended: the transport closes its channels once the count is zero, and a channel
-    // whose last reference goes on one of gRPC's threads makes gRPC abort the process.
+    // The stream is freed before it is counted as ended, as the transport closes its channels once the count is zero.
+    // gRPC aborts the process if the last reference to a channel is released on one of its threads.
     void OnDone(const grpc::Status &) override
     {
         OpenStreams &open = this->streams;
-        std::shared_ptr<Outgoing> kept = std::move(this->self);
-        kept.reset();
+        std::shared_ptr<OutgoingStream> own = std::move(this->self);
+        own.reset();
         const std::lock_guard guard(open.mutex);
         open.count--;
         open.ended.notify_all();
@@ -173,7 +177,7 @@
 private:
     OpenStreams &streams;
     const std::function<void(bool)> written;
-    std::shared_ptr<Outgoing> self;
+    std::shared_ptr<OutgoingStream> self;
     grpc::ClientContext context;
     wire::Delivered delivered;
     wire::RaftMessage message;
@@ -182,10 +186,10 @@
 struct Peer {
     std::unique_ptr<wire::RaftTransport::Stub> stub;
     std::deque<wire::RaftMessage> queue;
-    std::shared_ptr<Outgoing> stream;
+    std::shared_ptr<OutgoingStream> stream;
     std::uint64_t streamNumber = 0;
     bool writing = false;
-    bool pausing = false;
+    bool isBackingOff = false;
 };
 
 ChannelSettings channelSettings()
@@ -193,7 +197,7 @@
     ChannelSettings settings;
     settings.maxMessageBytes = static_cast<int>(RaftTransport::MaxMessageBytes);
     settings.connectTimeout = ConnectTimeout;
-    settings.minReconnectBackoff = ReconnectPause;
+    settings.minReconnectBackoff = ReconnectBackoff;
     settings.maxReconnectBackoff = MaxReconnectBackoff;
     settings.ping = PingInterval;
     settings.pingTimeout = PingTimeout;
@@ -209,9 +213,9 @@
     }
 
     Peer &peer(const std::string &address);
-    void pump(const std::string &address);
+    void sendNext(const std::string &address);
     void open(const std::string &address, Peer &peer);
-    void streamBroken(const std::string &address, Peer &broken);
+    void handleBrokenStream(const std::string &address, Peer &broken);
 
     loop::EventLoop &loop;
     const Alive alive = std::make_shared<bool>(true);
@@ -244,36 +248,36 @@
                 return;
             }
             if (!ok) {
-                this->streamBroken(address, peer);
+                this->handleBrokenStream(address, peer);
                 return;
             }
             peer.writing = false;
-            this->pump(address);
+            this->sendNext(address);
         });
     };
-    peer.stream = std::make_shared<Outgoing>(*peer.stub, this->streams, written);
+    peer.stream = std::make_shared<OutgoingStream>(*peer.stub, this->streams, written);
     peer.writing = false;
     peer.stream->start(peer.stream);
 }
 
-void RaftTransport::Parts::streamBroken(const std::string &address, Peer &broken)
+void RaftTransport::Parts::handleBrokenStream(const std::string &address, Peer &broken)
 {
     broken.stream->release();
     broken.stream.reset();
     broken.queue.clear();
     broken.writing = false;
-    broken.pausing = true;
-    this->loop.after(ReconnectPause, [this, address, alive = this->alive] {
+    broken.isBackingOff = true;
+    this->loop.after(ReconnectBackoff, [this, address, alive = this->alive] {
         if (*alive) {
-            this->peer(address).pausing = false;
+            this->peer(address).isBackingOff = false;
         }
     });
 }
 
-void RaftTransport::Parts::pump(const std::string &address)
+void RaftTransport::Parts::sendNext(const std::string &address)
 {
     Peer &target = this->peer(address);
-    if (target.queue.empty() || target.writing || target.pausing) {
+    if (target.queue.empty() || target.writing || target.isBackingOff) {
         return;
     }
     if (target.stream == nullptr) {
@@ -302,7 +306,7 @@
     builder.RegisterService(parts->service.get());
     parts->server = builder.BuildAndStart();
     if (parts->server == nullptr || parts->port == 0) {
-        return oneFinding("raft port " + endpoint, "can't be listened on");
+        return oneFinding("raft port " + endpoint, "could not be opened for listening");
     }
     return std::unique_ptr<RaftTransport>(new RaftTransport(std::move(parts)));
 }
@@ -330,14 +334,14 @@
 void RaftTransport::send(const std::string &address, wire::RaftMessage message)
 {
     Peer &target = this->parts->peer(address);
-    if (target.pausing || message.ByteSizeLong() > MaxMessageBytes) {
+    if (target.isBackingOff || message.ByteSizeLong() > MaxMessageBytes) {
         return;
     }
-    if (target.queue.size() >= MaxQueued) {
+    if (target.queue.size() >= MaxQueuedPerPeer) {
         target.queue.pop_front();
     }
     target.queue.push_back(std::move(message));
-    this->parts->pump(address);
+    this->parts->sendNext(address);
 }
 
 std::uint16_t RaftTransport::port() const
--- a/src/rpc/ReplicaConnection.cpp
+++ b/src/rpc/ReplicaConnection.cpp
@@ -12,23 +12,23 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds PatientTimeout{4000};
-constexpr milliseconds ImpatientTimeout{200};
-/** A connection that isn't ready by then gets an impatient one beside it. */
-constexpr milliseconds LateAfter{250};
+constexpr milliseconds LongConnectTimeout{4000};
+constexpr milliseconds ShortConnectTimeout{200};
+/** Time after which an attempt with the short time-out starts in parallel if the connection is not ready. */
+constexpr milliseconds ShortAttemptDelay{250};
 
 } // namespace
 
 ReplicaConnection::ReplicaConnection(ChannelPoller &poller, const std::string &address, BootTime now)
     : poller(poller)
     , address(address)
-    , begunAt(now)
-    , patient{openChannel(address, {.connectTimeout = PatientTimeout})}
+    , connectStartedAt(now)
+    , longAttempt{openChannel(address, {.connectTimeout = LongConnectTimeout})}
 {
-    this->isReady(this->patient);
+    this->isReady(this->longAttempt);
 }
 
-/** @return whether calls can be sent on it; otherwise it goes on connecting */
+/** Continues to connect the channel if it is not ready. @return whether calls can be sent on it */
 bool ReplicaConnection::isReady(Attempt &attempt)
 {
     const grpc_connectivity_state state = attempt.channel->GetState(true);
@@ -41,36 +41,36 @@
     return false;
 }
 
-std::shared_ptr<wire::Control::Stub> ReplicaConnection::ready(BootTime now)
+std::shared_ptr<wire::Control::Stub> ReplicaConnection::readyStub(BootTime now)
 {
-    if (this->isReady(this->patient)) {
-        return this->chosen(this->patient, now);
+    if (this->isReady(this->longAttempt)) {
+        return this->useAttempt(this->longAttempt, now);
     }
-    if (this->impatient.channel && this->isReady(this->impatient)) {
-        return this->chosen(this->impatient, now);
+    if (this->shortAttempt.channel && this->isReady(this->shortAttempt)) {
+        return this->useAttempt(this->shortAttempt, now);
     }
     if (this->stub) {
-        // The connection was ready and has ended.
-        this->begunAt = now;
+        // The connection was ready and has been lost.
+        this->connectStartedAt = now;
         this->readyAt = BootTime::max();
         this->stub.reset();
     }
-    if (!this->impatient.channel && now - this->begunAt >= LateAfter) {
-        this->impatient.channel = openChannel(this->address, {.connectTimeout = ImpatientTimeout});
-        this->isReady(this->impatient);
+    if (!this->shortAttempt.channel && now - this->connectStartedAt >= ShortAttemptDelay) {
+        this->shortAttempt.channel = openChannel(this->address, {.connectTimeout = ShortConnectTimeout});
+        this->isReady(this->shortAttempt);
     }
     return nullptr;
 }
 
-std::shared_ptr<wire::Control::Stub> ReplicaConnection::chosen(Attempt &attempt, BootTime now)
+std::shared_ptr<wire::Control::Stub> ReplicaConnection::useAttempt(Attempt &attempt, BootTime now)
 {
     if (!this->stub) {
         this->readyAt = now;
         this->stub = wire::Control::NewStub(attempt.channel);
-        if (&attempt == &this->impatient) {
-            std::swap(this->patient, this->impatient);
+        if (&attempt == &this->shortAttempt) {
+            std::swap(this->longAttempt, this->shortAttempt);
         }
-        this->impatient = {};
+        this->shortAttempt = {};
     }
     return this->stub;
 }
@@ -82,7 +82,7 @@
 
 std::chrono::nanoseconds ReplicaConnection::setUpTime() const
 {
-    return this->stub ? this->readyAt - this->begunAt : std::chrono::nanoseconds(0);
+    return this->stub ? this->readyAt - this->connectStartedAt : std::chrono::nanoseconds(0);
 }
 
 } // namespace bergamotweir::rpc
--- a/src/rpc/ReplicaConnection.h
+++ b/src/rpc/ReplicaConnection.h
@@ -11,43 +11,43 @@
 namespace bergamotweir::rpc {
 
 /**
- * A connection to one control replica, set up without a call on it.
- * On a congested link set-up takes seconds, so the first attempt is left to finish. After a partition a lost SYN is
- * retransmitted only seconds later, so attempts with a short timeout run beside it.
- * Used on the loop's thread; whoever holds a stub keeps its connection.
+ * A connection to one control replica, set up without a call in progress.
+ * On a congested link the set-up takes seconds, so the first attempt has a long time-out. After a partition, a lost SYN
+ * is retransmitted only seconds later, so attempts with a short time-out run in parallel. Used on the loop's thread. A
+ * stub keeps its connection alive.
  */
 class ReplicaConnection
 {
 public:
-    /** Starts to set it up. @param poller outlives it @param address IP:port of the replica */
+    /** Starts to connect. @param poller outlives the connection @param address IP:port of the replica */
     ReplicaConnection(ChannelPoller &poller, const std::string &address, BootTime now);
 
-    /** Goes on setting it up if it isn't ready. @return the replica's stub; nullptr as long as it isn't ready */
-    std::shared_ptr<wire::Control::Stub> ready(BootTime now);
+    /** Continues to connect if the connection is not ready. @return the replica's stub; nullptr if it is not ready */
+    std::shared_ptr<wire::Control::Stub> readyStub(BootTime now);
 
-    /** @return since when it is ready; BootTime::max() when it isn't */
+    /** @return when the connection became ready; BootTime::max() if it is not ready */
     BootTime readySince() const;
 
-    /** @return how long its set-up took; 0 when it isn't ready */
+    /** @return how long the set-up took; 0 if the connection is not ready */
     std::chrono::nanoseconds setUpTime() const;
 
 private:
-    /** One way to the replica that is being set up, or is ready. */
+    /** A channel to the replica that is connecting or ready. */
     struct Attempt {
         std::shared_ptr<grpc::Channel> channel;
         ChannelPoller::WatchId watch = 0;
     };
 
     bool isReady(Attempt &attempt);
-    std::shared_ptr<wire::Control::Stub> chosen(Attempt &attempt, BootTime now);
+    std::shared_ptr<wire::Control::Stub> useAttempt(Attempt &attempt, BootTime now);
 
     ChannelPoller &poller;
     std::string address;
-    BootTime begunAt;
+    BootTime connectStartedAt;
     BootTime readyAt = BootTime::max();
-    Attempt patient;
-    /** Has no channel until the patient one is late, and once either is ready. */
-    Attempt impatient;
+    Attempt longAttempt;
+    /** Has a channel only while longAttempt has exceeded ShortAttemptDelay and neither of the two is ready. */
+    Attempt shortAttempt;
     std::shared_ptr<wire::Control::Stub> stub;
 };
 
--- a/src/rpc/ReplicaConnections.cpp
+++ b/src/rpc/ReplicaConnections.cpp
@@ -6,22 +6,22 @@
 
 namespace {
 
-/** Set-up takes one way at least, an answer both ways; as much again for a queue on the link that changes. */
-constexpr int AnswerPerSetUp = 4;
-constexpr std::chrono::milliseconds LongestAnswer{2000};
+/** Set-up takes at least one one-way delay and an answer takes two; doubled to allow for varying queues on the link. */
+constexpr int AnswerTimePerSetUp = 4;
+constexpr std::chrono::milliseconds MaxAnswerTime{2000};
 
 } // namespace
 
-void ReplicaConnections::setUp(const std::vector<std::string> &addresses, BootTime now)
+void ReplicaConnections::connectAll(const std::vector<std::string> &addresses, BootTime now)
 {
     for (const std::string &address : addresses) {
-        this->ready(address, now);
+        this->readyStub(address, now);
     }
 }
 
-std::shared_ptr<wire::Control::Stub> ReplicaConnections::ready(const std::string &address, BootTime now)
+std::shared_ptr<wire::Control::Stub> ReplicaConnections::readyStub(const std::string &address, BootTime now)
 {
-    return this->connections.try_emplace(address, this->poller, address, now).first->second.ready(now);
+    return this->connections.try_emplace(address, this->poller, address, now).first->second.readyStub(now);
 }
 
 std::chrono::nanoseconds ReplicaConnections::setUpTime(const std::string &address) const
@@ -30,12 +30,12 @@
     return found == this->connections.end() ? std::chrono::nanoseconds(0) : found->second.setUpTime();
 }
 
-std::chrono::nanoseconds ReplicaConnections::answerTime(const std::string &address) const
+std::chrono::nanoseconds ReplicaConnections::maxAnswerTime(const std::string &address) const
 {
-    return std::min<std::chrono::nanoseconds>(this->setUpTime(address) * AnswerPerSetUp, LongestAnswer);
+    return std::min<std::chrono::nanoseconds>(this->setUpTime(address) * AnswerTimePerSetUp, MaxAnswerTime);
 }
 
-void ReplicaConnections::dropReadyBefore(BootTime time)
+void ReplicaConnections::closeReadyBefore(BootTime time)
 {
     std::erase_if(this->connections, [time](const auto &entry) {
         return entry.second.readySince() <= time;
--- a/src/rpc/ReplicaConnections.h
+++ b/src/rpc/ReplicaConnections.h
@@ -8,33 +8,35 @@
 
 namespace bergamotweir::rpc {
 
-/** A client's connections to the control replicas, set up at the same time; used on the loop's thread. */
+/** A client's connections to the control replicas, set up in parallel; used on the loop's thread. */
 class ReplicaConnections
 {
 public:
-    /** Interval at which a client that waits for a connection looks whether one is ready. */
+    /** Interval at which a client that waits for a connection checks whether one is ready. */
     static constexpr std::chrono::milliseconds PollInterval{5};
 
-    /** Sets up the connections to all of them that don't exist yet. @param addresses IP:port each */
-    void setUp(const std::vector<std::string> &addresses, BootTime now);
+    /** Sets up the connections that do not exist yet. @param addresses IP:port of each replica */
+    void connectAll(const std::vector<std::string> &addresses, BootTime now);
 
-    /** @return the stub of the replica at @p address; nullptr as long as its connection isn't ready */
-    std::shared_ptr<wire::Control::Stub> ready(const std::string &address, BootTime now);
+    /** @return the stub of the replica at @p address; nullptr if its connection is not ready */
+    std::shared_ptr<wire::Control::Stub> readyStub(const std::string &address, BootTime now);
 
-    /** @return how long setting up the connection to @p address took; 0 when there is none that is ready */
+    /** @return how long setting up the connection to @p address took; 0 if it is not ready */
     std::chrono::nanoseconds setUpTime(const std::string &address) const;
 
-    /** @return how long an answer over the connection to @p address may take, by its set-up; 2 s at most */
-    std::chrono::nanoseconds answerTime(const std::string &address) const;
+    /** @return how long an answer from @p address may take, estimated from the set-up time of its connection; at most 2
+     * s */
+    std::chrono::nanoseconds maxAnswerTime(const std::string &address) const;
 
     /**
-     * Closes the connections that were ready at @p time, for new ones to take their place.
-     * After a partition, TCP retransmits what was sent during it only at intervals that have grown to seconds, and all
-     * calls on the same connection wait behind that. One stalled connection is taken as a sign for all that are older.
+     * Closes the connections that were ready at @p time, so that new ones replace them.
+     * After a partition, TCP retransmits the data sent during it at intervals that have grown to seconds, and all calls
+     * on the same connection wait for that. If one connection has stalled, all older ones are assumed to have stalled
+     * too.
      */
-    void dropReadyBefore(BootTime time);
+    void closeReadyBefore(BootTime time);
 
-    /** Closes all connections but the one to @p address. */
+    /** Closes all connections except the one to @p address. */
     void keepOnly(const std::string &address);
 
 private:
--- a/tests/ControlSessionTest.cpp
+++ b/tests/ControlSessionTest.cpp
@@ -18,7 +18,7 @@
 
 namespace {
 
-/** A control replica that behaves as told. */
+/** A control replica whose behaviour the test sets. */
 class FakeReplica : public wire::Control::Service
 {
 public:
@@ -50,11 +50,11 @@
             if (this->silent) {
                 continue;
             }
-            if (this->stateTakes.count() > 0 && message.has_hello()) {
+            if (this->stateDelay.count() > 0 && message.has_hello()) {
                 wire::ControlMessage accepted;
                 accepted.mutable_accepted();
                 stream->Write(accepted);
-                std::this_thread::sleep_for(this->stateTakes);
+                std::this_thread::sleep_for(this->stateDelay);
             }
             if (!this->leader.empty()) {
                 answer.mutable_redirect()->set_leader_address(this->leader);
@@ -62,7 +62,7 @@
                 answer.mutable_renewed()->set_sequence(message.has_renew() ? message.renew().sequence() : 0);
             }
             stream->Write(answer);
-            if (this->hangUp) {
+            if (this->closesAfterAnswer) {
                 return grpc::Status::OK;
             }
         }
@@ -88,10 +88,10 @@
     }
 
     std::string leader;
-    /** How long the full state is on its way; before it, the session is accepted. */
-    std::chrono::milliseconds stateTakes{0};
+    /** Delay between the acceptance of the session and the full state. */
+    std::chrono::milliseconds stateDelay{0};
     std::atomic<bool> silent{false};
-    std::atomic<bool> hangUp{false};
+    std::atomic<bool> closesAfterAnswer{false};
     std::atomic<int> sessions{0};
     std::atomic<int> claims{0};
 
@@ -107,7 +107,7 @@
     return hello;
 }
 
-/** Ends a loop that a fault would keep running for ever. */
+/** Stops the loop after a time limit, so that a fault does not make the test hang. */
 void stopAfter(loop::EventLoop &loop, std::chrono::seconds limit)
 {
     loop.after(limit, [&loop] {
@@ -115,13 +115,13 @@
     });
 }
 
-/** Longest time without a session for an agent that can reach the control group. */
-constexpr auto ContactBound = 3s;
+/** Maximum time without a session for an agent that can reach the control group. */
+constexpr auto MaxTimeWithoutSession = 3s;
 constexpr auto TestLimit = 10s;
 
 /**
  * Opens a session, stalls the connections of all proxies, and waits for the next session.
- * @return the time between; TestLimit when there is no next session
+ * @return the time without a session; TestLimit if there is no next session
  */
 std::chrono::nanoseconds timeWithoutSession(const std::vector<std::string> &addresses,
                                             const std::vector<test::LoopbackProxy *> &proxies)
@@ -153,7 +153,7 @@
 
 } // namespace
 
-TEST_CASE("an agent is led from a follower to the leader and renews there")
+TEST_CASE("an agent follows a redirect to the leader and renews there")
 {
     FakeReplica leader;
     FakeReplica follower;
@@ -182,8 +182,8 @@
     REQUIRE(leader.sessions == 1);
 }
 
-// Guards against keys that stay unserved because an agent waits for a frozen leader whose connection stays up.
-TEST_CASE("an agent leaves a replica that fell silent and does not follow a redirect back to it")
+// Guards against keys that are not served because an agent waits for a frozen leader whose connection stays open.
+TEST_CASE("an agent disconnects from a frozen replica and does not follow a redirect back to it")
 {
     FakeReplica frozen;
     frozen.silent = true;
@@ -208,10 +208,10 @@
     REQUIRE(frozen.sessions == 1);
 }
 
-TEST_CASE("a closed session is told once and sought anew")
+TEST_CASE("a closed session is reported once and opened again")
 {
     FakeReplica leader;
-    leader.hangUp = true;
+    leader.closesAfterAnswer = true;
     auto loop = loop::EventLoop::create().value();
     std::vector<rpc::SessionId> opened;
     std::vector<rpc::SessionId> closed;
@@ -234,7 +234,7 @@
     REQUIRE(closed == opened);
 }
 
-TEST_CASE("a claim finds the leader, and is unavailable at its timeout when there is none")
+TEST_CASE("a claim reaches the leader, and is unavailable at its timeout if there is no leader")
 {
     FakeReplica leader;
     FakeReplica follower;
@@ -258,8 +258,8 @@
     REQUIRE(follower.claims >= 2);
 }
 
-// Guards against keyed requests that are refused because the connection for claims stalled without a reset.
-TEST_CASE("a claim is granted over a new connection when the kept one has stalled")
+// Guards against refused keyed requests because the connection for claims has stalled without a reset.
+TEST_CASE("a claim is granted over a new connection when the existing one has stalled")
 {
     FakeReplica leader;
     test::LoopbackProxy proxy(leader.address());
@@ -281,8 +281,8 @@
     CHECK(second == wire::CLAIM_VERDICT_GRANTED);
 }
 
-// Guards against an operator who takes a change whose answer was lost for one that failed, and sends another.
-TEST_CASE("an operator call tells an unknown outcome from one that never left")
+// Guards against an operator who mistakes a change whose answer was lost for a failed one, and sends another.
+TEST_CASE("an operator call distinguishes an unknown outcome from a request that was never sent")
 {
     FakeReplica leader;
     FakeReplica follower;
@@ -293,8 +293,8 @@
     REQUIRE(rpc::callOperator({"127.0.0.1:1"}, {}, 300ms).status() == wire::OPERATOR_STATUS_REFUSED);
 }
 
-// Guards against an agent that acts on an old table for seconds while it waits for one dead replica after the other.
-TEST_CASE("an agent that knows of two dead replicas finds the leader well before an open session would be given up")
+// Guards against an agent that uses an outdated table for seconds while it waits for one dead replica after another.
+TEST_CASE("an agent with two dead replicas finds the leader well before the silence time-out of an open session")
 {
     FakeReplica first;
     FakeReplica second;
@@ -321,11 +321,11 @@
     REQUIRE(std::chrono::steady_clock::now() - begun < 1500ms);
 }
 
-// Guards against agents that leave a leader before the full state has come over a slow link, and ask for it again.
-TEST_CASE("an agent waits for a full state that takes longer than any answer may")
+// Guards against agents that disconnect before the full state has arrived over a slow link, and request it again.
+TEST_CASE("an agent waits for a full state that takes longer than the silence time-out")
 {
     FakeReplica leader;
-    leader.stateTakes = 900ms;
+    leader.stateDelay = 900ms;
     auto loop = loop::EventLoop::create().value();
     bool opened = false;
     rpc::ControlSessionEvents events;
@@ -341,11 +341,11 @@
     stopAfter(*loop, 10s);
     loop->run();
     CHECK(opened);
-    // 250, 500, then 1000 ms of patience.
+    // The silence time-out is 250, 500, then 1000 ms.
     CHECK(leader.sessions == 3);
 }
 
-// Guards against an agent that acts on an old table because the connection to the leader stalled without a reset.
+// Guards against an agent that uses an outdated table because the connection to the leader stalled without a reset.
 TEST_CASE("an agent whose connection to the leader has stalled opens a session over a new one")
 {
     FakeReplica leader;
@@ -353,7 +353,7 @@
     FakeReplica follower;
     follower.leader = proxy.address();
     const auto without = timeWithoutSession({proxy.address(), follower.address()}, {&proxy});
-    CHECK(without < ContactBound);
+    CHECK(without < MaxTimeWithoutSession);
 }
 
 // Guards against an agent behind a congested link that never gets a connection to control.
@@ -380,16 +380,16 @@
     stopAfter(*loop, TestLimit);
     loop->run();
     CHECK(opened);
-    CHECK(std::chrono::steady_clock::now() - begun < ContactBound);
+    CHECK(std::chrono::steady_clock::now() - begun < MaxTimeWithoutSession);
 }
 
 // Guards against an agent that waits for each dead replica in turn before it asks the leader.
-TEST_CASE("an agent that knows three dead replicas of five opens a session at once")
+TEST_CASE("an agent with three dead replicas out of five opens a session at once")
 {
     FakeReplica leader;
     FakeReplica follower;
     follower.leader = leader.address();
-    // They take connections and never say anything, as a frozen VM does.
+    // They accept connections and never send anything, like a frozen VM.
     std::array<test::SilentListener, 3> dead;
     auto loop = loop::EventLoop::create().value();
     bool opened = false;
@@ -430,7 +430,7 @@
     CHECK(verdict == wire::CLAIM_VERDICT_GRANTED);
 }
 
-// Guards against an agent that stays without a session when the connections to all replicas stalled in a partition.
+// Guards against an agent that remains without a session when the connections to all replicas stalled in a partition.
 TEST_CASE("an agent whose connections to all replicas have stalled opens a session over new ones")
 {
     FakeReplica leader;
@@ -443,9 +443,9 @@
         followerProxies.push_back(std::make_unique<test::LoopbackProxy>(follower.address()));
         proxies.push_back(followerProxies.back().get());
         addresses.push_back(followerProxies.back()->address());
-        // A replica that names itself is left, so that each one is asked once.
+        // The agent disconnects from a replica that names itself, so that each one is asked once.
         follower.leader = addresses.back();
     }
     addresses.push_back(leaderProxy.address());
-    CHECK(timeWithoutSession(addresses, proxies) < ContactBound);
+    CHECK(timeWithoutSession(addresses, proxies) < MaxTimeWithoutSession);
 }
--- a/tests/EventLoopTest.cpp
+++ b/tests/EventLoopTest.cpp
@@ -51,9 +51,8 @@
     REQUIRE(order.substr(order.find('t')).find("tds") != std::string::npos);
 }
 
-// An idle process costs a tenth of a core.
-// Order: a timer is due in a broken number of milliseconds; the loop waits for the whole ones and polls for the rest.
-// Cause: a wait in whole milliseconds, rounded down.
+// Guards against an idle process that uses a tenth of a core: if the wait for a timer is rounded down to whole
+// milliseconds, the loop polls without waiting during the rest of the last millisecond.
 TEST_CASE("a loop that waits for timers does not spin")
 {
     const auto cpuTime = [] {
--- a/tests/LogTest.cpp
+++ b/tests/LogTest.cpp
@@ -23,10 +23,10 @@
 
 } // namespace
 
-TEST_CASE("a noisy line of the program can neither flood the log nor crowd out the others")
+TEST_CASE("a noisy call site can neither flood the log nor suppress the lines of others")
 {
-    // An upstream refuses every request for a minute, and each refusal logs a line: without a bound the log would fill
-    // the disk at the very moment somebody needs it.
+    // An upstream refuses every request for a minute and each refusal logs a line. Without a bound the log would fill
+    // the disk during the fault.
     loop::LogLimiter limiter;
     const loop::LogSite noisy = loop::LogSite::here();
     const loop::LogSite rare = calledFrom();
@@ -41,7 +41,7 @@
     CHECK(limiter.allow(noisy, now + 10s) == std::optional<std::uint64_t>(10000 - loop::LogLimiter::MaxPerWindow));
 }
 
-TEST_CASE("a caller's key is told as a hash only")
+TEST_CASE("a caller's key is logged only as a hash")
 {
     CHECK(loop::redacted("learner-4711").find("4711") == std::string::npos);
     CHECK(loop::redacted("learner-4711") == loop::redacted("learner-4711"));
@@ -50,7 +50,7 @@
 
 namespace {
 
-/** A pipe whose reader reads only when the test does. */
+/** A pipe that is read only when the test calls read(). */
 struct Pipe {
     int ends[2] = {-1, -1};
 
@@ -77,7 +77,7 @@
     }
 };
 
-/** Makes what is protected in an appender reachable. */
+/** Gives access to the protected append() of an appender. */
 struct OpenAppender : loop::PipeAppender {
     using PipeAppender::PipeAppender;
 
@@ -89,11 +89,9 @@
 
 } // namespace
 
-/*
- * Whoever collects the log hangs. The pipe fills, and with a log that waits for its reader the process stops in the
- * middle of a request. Here lines wait in a bounded buffer; beyond it those about what went well are lost first.
- */
-TEST_CASE("a reader that stops reading costs lines and not time, failures last, and what was lost is said")
+// Guards against a process that blocks in the middle of a request because the reader of its log hangs and the pipe is
+// full. Lines are kept in a bounded buffer; when it is full, lines about successful requests are dropped first.
+TEST_CASE("a log that is not read drops lines without blocking, failures last, and reports the number of dropped lines")
 {
     Pipe pipe;
     OpenAppender appender(pipe.ends[1]);
@@ -120,7 +118,7 @@
     CHECK(count + written == 20000 + 1 + 100);
 }
 
-TEST_CASE("lines about requests have a bound a second of their own")
+TEST_CASE("lines about requests have their own bound per second")
 {
     loop::LogLimiter limiter;
     const loop::LogSite site = loop::LogSite::here();
--- a/tests/LoopbackProxy.h
+++ b/tests/LoopbackProxy.h
@@ -10,13 +10,13 @@
 
 namespace bergamotweir::test {
 
-/** Forwards TCP connections to a port on loopback, on a thread of its own, and stalls them when told to. */
+/** Forwards TCP connections to a port on loopback on its own thread, and can stall them. */
 class LoopbackProxy
 {
 public:
     /**
      * @param target IP:port on loopback that connections are forwarded to
-     * @param delay how long bytes are on their way in each direction
+     * @param delay latency in each direction
      */
     explicit LoopbackProxy(const std::string &target, std::chrono::milliseconds delay = std::chrono::milliseconds(0));
     ~LoopbackProxy();
@@ -26,14 +26,14 @@
     /** @return IP:port to connect to */
     std::string address() const;
 
-    /** Forwards nothing more on the connections that exist, and leaves them open; later connections work. */
+    /** Stops forwarding on the existing connections but leaves them open; later connections are forwarded. */
     void stallConnections();
 
-    /** @return connections accepted so far */
+    /** @return the number of connections accepted so far */
     int accepted() const;
 
 private:
-    /** Bytes that are due at a socket at a time. */
+    /** Bytes to be sent to a socket at a given time. */
     struct Delayed {
         int to = -1;
         std::chrono::steady_clock::time_point due;
@@ -49,7 +49,7 @@
 
     void run();
     void accept();
-    /** @return false once either side has closed */
+    /** @return false if the connection has been closed or has failed */
     bool forward(int from, int to);
     void sendDue();
     void closeBoth(const Connection &connection);
--- a/tests/PackedMessageTest.cpp
+++ b/tests/PackedMessageTest.cpp
@@ -31,12 +31,12 @@
     REQUIRE(plain.SerializeAsString() == message.SerializeAsString());
 }
 
-TEST_CASE("packed message: a cut, forged, oversized or nested one is refused")
+TEST_CASE("packed message: a truncated, forged, oversized or nested one is refused")
 {
     const wire::ControlMessage packed = *rpc::pack(largeUpdate());
-    wire::ControlMessage cut = packed;
-    cut.mutable_packed()->mutable_compressed()->resize(cut.packed().compressed().size() / 2);
-    REQUIRE_FALSE(rpc::unpack(cut));
+    wire::ControlMessage truncated = packed;
+    truncated.mutable_packed()->mutable_compressed()->resize(truncated.packed().compressed().size() / 2);
+    REQUIRE_FALSE(rpc::unpack(truncated));
     wire::ControlMessage shorter = packed;
     shorter.mutable_packed()->set_bytes(10);
     REQUIRE_FALSE(rpc::unpack(shorter));
--- a/tests/RaftTransportTest.cpp
+++ b/tests/RaftTransportTest.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/** Two transports on one loop; what arrives at the second is kept. */
+/** Two transports on one loop; records the terms of the messages that the receiver gets. */
 struct Pair {
     Pair()
     {
@@ -63,7 +63,7 @@
 
 } // namespace
 
-TEST_CASE("messages arrive once and in order, and one that is too large is left out", "[transport]")
+TEST_CASE("messages arrive once and in order, and one that is too large is dropped", "[transport]")
 {
     Pair pair;
     for (std::uint64_t term = 1; term <= 100; ++term) {
@@ -81,8 +81,8 @@
     REQUIRE(pair.terms == expected);
 }
 
-// A replica is restarted; its peers must reach it again by themselves, and what they said meanwhile must not pile up.
-TEST_CASE("a peer that was away is reached again, and its queue stays bounded meanwhile", "[transport]")
+// Guards against peers that do not reconnect to a restarted replica, or whose queues grow without bound meanwhile.
+TEST_CASE("a restarted peer is reached again, and its queue stays bounded meanwhile", "[transport]")
 {
     Pair pair;
     pair.send(1);
@@ -95,18 +95,18 @@
         pair.send(term);
     }
     pair.openReceiver(port);
-    std::uint64_t last = 10000;
-    const loop::TimerId speak = pair.loop->every(10ms, [&] {
-        pair.send(++last);
+    std::uint64_t lastTerm = 10000;
+    const loop::TimerId sendTimer = pair.loop->every(10ms, [&] {
+        pair.send(++lastTerm);
     });
     pair.runUntil([&] {
         return pair.terms.back() > 10000;
     });
-    pair.loop->cancel(speak);
+    pair.loop->cancel(sendTimer);
     REQUIRE(pair.terms.size() < 2000);
 }
 
-TEST_CASE("a port in use is told", "[transport]")
+TEST_CASE("opening on a port in use is an error", "[transport]")
 {
     Pair pair;
     const auto second = rpc::RaftTransport::open(*pair.loop, {"127.0.0.1", pair.receiver->port()}, [](const auto &) {});
@@ -114,7 +114,7 @@
     REQUIRE(second.error().front().place.find("raft port") != std::string::npos);
 }
 
-// A peer is slower than what is said to it: memory must not grow, and the newest message says the most.
+// A peer reads more slowly than messages are sent: memory stays bounded, and the newest message is kept.
 TEST_CASE("a queue that is full drops its oldest messages", "[transport]")
 {
     Pair pair;
@@ -127,13 +127,13 @@
     REQUIRE(pair.terms.size() < 2000);
 }
 
-// A control process would crash now and then while one of its peers restarts: gRPC ends the stream on its own thread
-// just before the loop writes on it.
-TEST_CASE("a stream that ends while it is written on does no harm", "[transport]")
+// Guards against a crash of a control process while a peer restarts: gRPC may end the stream on its own thread just
+// before the loop writes on it.
+TEST_CASE("a stream that ends during a write does not crash the process", "[transport]")
 {
     Pair pair;
     std::uint64_t term = 0;
-    const loop::TimerId speak = pair.loop->every(200us, [&] {
+    const loop::TimerId sendTimer = pair.loop->every(200us, [&] {
         pair.send(++term);
     });
     const std::uint16_t port = pair.receiver->port();
@@ -145,6 +145,6 @@
         pair.receiver.reset();
         pair.openReceiver(port);
     }
-    pair.loop->cancel(speak);
+    pair.loop->cancel(sendTimer);
     REQUIRE(std::is_sorted(pair.terms.begin(), pair.terms.end()));
 }
--- a/tests/TimerQueueTest.cpp
+++ b/tests/TimerQueueTest.cpp
@@ -7,7 +7,7 @@
 using namespace bergamotweir;
 using namespace std::chrono_literals;
 
-/** Runs the queue until a text is as long as wanted. */
+/** Runs the queue until the text has the given length. */
 static void runUntil(loop::TimerQueue &queue, const std::string &text, std::size_t length)
 {
     while (text.size() < length) {
@@ -18,7 +18,7 @@
     }
 }
 
-TEST_CASE("timers fire in the order of their due times, whatever the order of adding")
+TEST_CASE("timers fire in the order of their due times, regardless of the order in which they were added")
 {
     loop::TimerQueue queue;
     std::string order;
@@ -34,7 +34,7 @@
     CHECK(order == "0123");
 }
 
-TEST_CASE("a repeated timer may end itself, and what a task adds waits for the next turn")
+TEST_CASE("a repeated timer may cancel itself, and a timer added by a task fires in a later run")
 {
     loop::TimerQueue queue;
     std::string order;
@@ -53,11 +53,9 @@
     CHECK(order == "rrre");
 }
 
-/*
- * Story: a VM is frozen for a minute and returns. Were each missed repetition made up for, hundreds of heartbeats or
- * health checks would go out in one burst.
- */
-TEST_CASE("missed repetitions are not made up for")
+// Guards against a burst of hundreds of heartbeats or health checks after a VM was suspended for a minute, which would
+// follow if each missed repetition were run later.
+TEST_CASE("missed repetitions of a timer are skipped")
 {
     loop::TimerQueue queue;
     int fired = 0;
