--- a/include/loop/EventLoop.h
+++ b/include/loop/EventLoop.h
@@ -37,7 +37,7 @@
     /** Handles events until stop() is called; may be called again after that. */
     void run();
 
-    /** Makes run() return once the tasks posted before have run. Any thread. */
+    /** Makes run() return soon, after the tasks posted before. Any thread. */
     void stop();
 
     /** Runs @p task on the loop's thread, in the order posted. Any thread. */
--- a/src/loop/EventLoop.cpp
+++ b/src/loop/EventLoop.cpp
@@ -72,7 +72,7 @@
 class SignalHandler : public ACE_Event_Handler
 {
 public:
-    std::function<void()> callback;
+    std::function<void()> onSignal;
 
     int handle_signal(int, siginfo_t *, ucontext_t *) override
     {
@@ -84,7 +84,7 @@
     int handle_exception(ACE_HANDLE) override
     {
         if (this->pending.exchange(false)) {
-            this->callback();
+            this->onSignal();
         }
         return 0;
     }
@@ -283,7 +283,7 @@
 void EventLoop::onSignal(int signal, std::function<void()> task)
 {
     auto handler = std::make_unique<SignalHandler>();
-    handler->callback = std::move(task);
+    handler->onSignal = std::move(task);
     handler->reactor(&this->parts->reactor);
     this->parts->reactor.register_handler(signal, handler.get());
     this->parts->signals[signal] = std::move(handler);
--- a/src/rpc/ControlService.cpp
+++ b/src/rpc/ControlService.cpp
@@ -40,7 +40,7 @@
 
 using OutgoingMessage = std::shared_ptr<const wire::ControlMessage>;
 
-/** The gRPC stream of one session. Its On… methods run on gRPC's threads; it deletes itself in OnDone(). */
+/** The gRPC stream of one session. Its callbacks run on gRPC's threads; it deletes itself in OnDone(). */
 class SessionStream : public grpc::ServerBidiReactor<wire::AgentMessage, wire::ControlMessage>
 {
 public:
--- a/src/rpc/ControlSession.cpp
+++ b/src/rpc/ControlSession.cpp
@@ -27,7 +27,7 @@
 } // namespace
 
 /**
- * One gRPC stream. Its On… methods run on gRPC's threads; received messages are posted to the loop.
+ * One gRPC stream. Its callbacks run on gRPC's threads; received messages are posted to the loop.
  * Owned by the session alone, which frees it on the loop's thread after OnDone(): gRPC aborts the process if the last
  * reference to a channel is released on one of its callback threads (a reference count check failed in its callback
  * queue at one start in fifteen under load).
--- a/src/rpc/OperatorClient.cpp
+++ b/src/rpc/OperatorClient.cpp
@@ -26,8 +26,8 @@
 
 std::chrono::system_clock::time_point wallDeadline(std::chrono::nanoseconds remaining, std::chrono::milliseconds limit)
 {
-    const auto timeout = std::min<std::chrono::nanoseconds>(remaining, limit);
-    return std::chrono::system_clock::now() + std::chrono::duration_cast<std::chrono::microseconds>(timeout);
+    const auto waitTime = std::min<std::chrono::nanoseconds>(remaining, limit);
+    return std::chrono::system_clock::now() + std::chrono::duration_cast<std::chrono::microseconds>(waitTime);
 }
 
 Attempt attemptReplica(const std::string &address, const wire::OperatorRequest &request, BootTime deadline)
--- a/src/rpc/ReplicaConnection.cpp
+++ b/src/rpc/ReplicaConnection.cpp
@@ -15,7 +15,7 @@
 constexpr milliseconds LongConnectTimeout{4000};
 constexpr milliseconds ShortConnectTimeout{200};
 /** Time after which an attempt with the short time-out starts in parallel if the connection is not ready. */
-constexpr milliseconds ShortAttemptDelay{250};
+constexpr milliseconds ParallelAttemptDelay{250};
 
 } // namespace
 
@@ -23,9 +23,9 @@
     : poller(poller)
     , address(address)
     , connectStartedAt(now)
-    , longAttempt{openChannel(address, {.connectTimeout = LongConnectTimeout})}
+    , primaryAttempt{openChannel(address, {.connectTimeout = LongConnectTimeout})}
 {
-    this->isReady(this->longAttempt);
+    this->isReady(this->primaryAttempt);
 }
 
 /** Continues to connect the channel if it is not ready. @return whether calls can be sent on it */
@@ -43,11 +43,11 @@
 
 std::shared_ptr<wire::Control::Stub> ReplicaConnection::readyStub(BootTime now)
 {
-    if (this->isReady(this->longAttempt)) {
-        return this->useAttempt(this->longAttempt, now);
+    if (this->isReady(this->primaryAttempt)) {
+        return this->useAttempt(this->primaryAttempt, now);
     }
-    if (this->shortAttempt.channel && this->isReady(this->shortAttempt)) {
-        return this->useAttempt(this->shortAttempt, now);
+    if (this->parallelAttempt.channel && this->isReady(this->parallelAttempt)) {
+        return this->useAttempt(this->parallelAttempt, now);
     }
     if (this->stub) {
         // The connection was ready and has been lost.
@@ -55,9 +55,9 @@
         this->readyAt = BootTime::max();
         this->stub.reset();
     }
-    if (!this->shortAttempt.channel && now - this->connectStartedAt >= ShortAttemptDelay) {
-        this->shortAttempt.channel = openChannel(this->address, {.connectTimeout = ShortConnectTimeout});
-        this->isReady(this->shortAttempt);
+    if (!this->parallelAttempt.channel && now - this->connectStartedAt >= ParallelAttemptDelay) {
+        this->parallelAttempt.channel = openChannel(this->address, {.connectTimeout = ShortConnectTimeout});
+        this->isReady(this->parallelAttempt);
     }
     return nullptr;
 }
@@ -67,10 +67,10 @@
     if (!this->stub) {
         this->readyAt = now;
         this->stub = wire::Control::NewStub(attempt.channel);
-        if (&attempt == &this->shortAttempt) {
-            std::swap(this->longAttempt, this->shortAttempt);
+        if (&attempt == &this->parallelAttempt) {
+            std::swap(this->primaryAttempt, this->parallelAttempt);
         }
-        this->shortAttempt = {};
+        this->parallelAttempt = {};
     }
     return this->stub;
 }
--- a/src/rpc/ReplicaConnection.h
+++ b/src/rpc/ReplicaConnection.h
@@ -45,9 +45,9 @@
     std::string address;
     BootTime connectStartedAt;
     BootTime readyAt = BootTime::max();
-    Attempt longAttempt;
-    /** Has a channel only while longAttempt has exceeded ShortAttemptDelay and neither of the two is ready. */
-    Attempt shortAttempt;
+    Attempt primaryAttempt;
+    /** Has a channel only while primaryAttempt has exceeded ParallelAttemptDelay and neither of the two is ready. */
+    Attempt parallelAttempt;
     std::shared_ptr<wire::Control::Stub> stub;
 };
 
--- a/tests/RaftTransportTest.cpp
+++ b/tests/RaftTransportTest.cpp
@@ -13,8 +13,8 @@
 namespace {
 
 /** Two transports on one loop; records the terms of the messages that the receiver gets. */
-struct Pair {
-    Pair()
+struct TransportPair {
+    TransportPair()
     {
         this->openReceiver(0);
         this->sender = std::move(rpc::RaftTransport::open(*this->loop, {"127.0.0.1", 0}, [](const auto &) {}).value());
@@ -65,7 +65,7 @@
 
 TEST_CASE("messages arrive once and in order, and one that is too large is dropped", "[transport]")
 {
-    Pair pair;
+    TransportPair pair;
     for (std::uint64_t term = 1; term <= 100; ++term) {
         pair.send(term, term == 50 ? rpc::RaftTransport::MaxMessageBytes : 1000);
     }
@@ -84,7 +84,7 @@
 // Guards against peers that do not reconnect to a restarted replica, or whose queues grow without bound meanwhile.
 TEST_CASE("a restarted peer is reached again, and its queue stays bounded meanwhile", "[transport]")
 {
-    Pair pair;
+    TransportPair pair;
     pair.send(1);
     pair.runUntil([&] {
         return pair.terms.size() == 1;
@@ -108,7 +108,7 @@
 
 TEST_CASE("opening on a port in use is an error", "[transport]")
 {
-    Pair pair;
+    TransportPair pair;
     const auto second = rpc::RaftTransport::open(*pair.loop, {"127.0.0.1", pair.receiver->port()}, [](const auto &) {});
     REQUIRE_FALSE(second.has_value());
     REQUIRE(second.error().front().place.find("raft port") != std::string::npos);
@@ -117,7 +117,7 @@
 // A peer reads more slowly than messages are sent: memory stays bounded, and the newest message is kept.
 TEST_CASE("a queue that is full drops its oldest messages", "[transport]")
 {
-    Pair pair;
+    TransportPair pair;
     for (std::uint64_t term = 1; term <= 5000; ++term) {
         pair.send(term);
     }
@@ -131,7 +131,7 @@
 // before the loop writes on it.
 TEST_CASE("a stream that ends during a write does not crash the process", "[transport]")
 {
-    Pair pair;
+    TransportPair pair;
     std::uint64_t term = 0;
     const loop::TimerId sendTimer = pair.loop->every(200us, [&] {
         pair.send(++term);
