--- a/src/loop/EventLoop.cpp
+++ b/src/loop/EventLoop.cpp
@@ -72,7 +72,7 @@
 class SignalHandler : public ACE_Event_Handler
 {
 public:
-    std::function<void()> onSignal;
+    std::function<void()> signalTask;
 
     int handle_signal(int, siginfo_t *, ucontext_t *) override
     {
@@ -84,7 +84,7 @@
     int handle_exception(ACE_HANDLE) override
     {
         if (this->pending.exchange(false)) {
-            this->onSignal();
+            this->signalTask();
         }
         return 0;
     }
@@ -143,8 +143,7 @@
     std::deque<std::function<void()>> tasks;
 };
 
-/** Tasks posted by tasks run in the same iteration of the loop; the bound keeps them from starving sockets and timers.
- */
+/** Tasks posted by tasks run in the same iteration of the loop; the bound prevents starvation of sockets and timers. */
 constexpr int MaxTaskRoundsPerIteration = 8;
 /** Maximum number of descriptors that the loop watches; the reactor keeps a table entry for each. */
 constexpr rlim_t MaxDescriptors = 8192;
@@ -283,7 +282,7 @@
 void EventLoop::onSignal(int signal, std::function<void()> task)
 {
     auto handler = std::make_unique<SignalHandler>();
-    handler->onSignal = std::move(task);
+    handler->signalTask = std::move(task);
     handler->reactor(&this->parts->reactor);
     this->parts->reactor.register_handler(signal, handler.get());
     this->parts->signals[signal] = std::move(handler);
--- a/tests/ControlSessionTest.cpp
+++ b/tests/ControlSessionTest.cpp
@@ -258,7 +258,7 @@
     REQUIRE(follower.claims >= 2);
 }
 
-// Guards against refused keyed requests because the connection for claims has stalled without a reset.
+// Guards against keyed requests refused because the connection for claims has stalled without a reset.
 TEST_CASE("a claim is granted over a new connection when the existing one has stalled")
 {
     FakeReplica leader;
