--- a/src/rpc/ChannelPoller.cpp
+++ b/src/rpc/ChannelPoller.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/** Maximum duration of a watch. A watch keeps its channel alive, so this also bounds how long a dropped channel
- * remains. */
+/** Maximum duration of a watch, and hence the time that a dropped channel remains, as a watch keeps its channel alive.
+ */
 constexpr std::chrono::milliseconds MaxWatchTime{250};
 
 } // namespace
--- a/src/rpc/ControlService.cpp
+++ b/src/rpc/ControlService.cpp
@@ -24,8 +24,7 @@
 /** Interval and time-out of HTTP/2 pings, which detect a VM that was lost without closing its connections. */
 constexpr int KeepaliveMs = 5000;
 
-/** Maximum numbers of sessions and of unary calls in progress. Each uses memory, and a replica is overloaded above
- * them. */
+/** Maximum numbers of sessions and of unary calls in progress; above them a replica is overloaded. Each uses memory. */
 constexpr std::size_t MaxSessions = 16384;
 constexpr std::size_t MaxCalls = 16384;
 
@@ -199,7 +198,7 @@
     bool stopped = false;
     std::uint64_t lastSession = 0;
     std::map<std::uint64_t, OpenStream> sessions;
-    std::map<std::uint64_t, std::function<void()>> pendingFailures;
+    std::map<std::uint64_t, std::function<void()>> pendingCalls;
     std::uint64_t lastCall = 0;
     /** The message that was packed last: the same message is often sent to many sessions in a row. */
     std::weak_ptr<const wire::ControlMessage> lastUnpacked;
@@ -334,12 +333,12 @@
     pending->reactor = reactor;
     pending->reply = reply;
     const std::lock_guard guard(this->mutex);
-    if (this->stopped || this->pendingFailures.size() >= MaxCalls) {
+    if (this->stopped || this->pendingCalls.size() >= MaxCalls) {
         pending->fail();
         return reactor;
     }
     const std::uint64_t callId = ++this->lastCall;
-    this->pendingFailures[callId] = [pending] {
+    this->pendingCalls[callId] = [pending] {
         pending->fail();
     };
     this->loop->post([weak = this->weak_from_this(), pending, callId, request = *request, handler] {
@@ -353,7 +352,7 @@
                 return;
             }
             const std::lock_guard lock(alive->mutex);
-            alive->pendingFailures.erase(callId);
+            alive->pendingCalls.erase(callId);
             pending->answer(std::move(value));
         });
     });
@@ -398,10 +397,10 @@
         for (const auto &[sessionId, session] : this->parts->sessions) {
             session.stream->abort();
         }
-        for (const auto &[callId, fail] : this->parts->pendingFailures) {
+        for (const auto &[callId, fail] : this->parts->pendingCalls) {
             fail();
         }
-        this->parts->pendingFailures.clear();
+        this->parts->pendingCalls.clear();
     }
     this->parts->server->Shutdown(std::chrono::system_clock::now() + ShutdownTimeout);
     this->parts->server.reset();
