--- a/src/rpc/ChannelPoller.cpp
+++ b/src/rpc/ChannelPoller.cpp
@@ -6,8 +6,7 @@
 
 namespace {
 
-/** Maximum duration of a watch, and hence the time that a dropped channel remains, as a watch keeps its channel alive.
- */
+/** Maximum duration of a watch. A watch keeps its channel alive, so a dropped channel is closed after this at most. */
 constexpr std::chrono::milliseconds MaxWatchTime{250};
 
 } // namespace
