--- a/bench/BurnBench.cpp
+++ b/bench/BurnBench.cpp
@@ -1,5 +1,5 @@
-// What the burn report costs an agent: time for each request, memory for each service and upstream, size of a report.
-// Seeded; prints one line for each point.
+// Measures the cost of the burn report to an agent: time per request, memory by number of services and upstreams, and
+// size of a report. Seeded; prints one line for each combination.
 
 #include "report/BurnReport.h"
 #include "report/BurnState.h"
@@ -20,8 +20,8 @@
 
 constexpr std::uint64_t Seed = 20261202;
 constexpr unsigned Requests = 1000000;
-/** One request in so many goes wrong. */
-constexpr unsigned BadShare = 20;
+/** One request in this number fails. */
+constexpr unsigned RequestsPerFailure = 20;
 
 std::vector<std::string> names(const char *prefix, unsigned count)
 {
@@ -49,28 +49,28 @@
     const std::size_t before = heapInUse();
     report::BurnState state;
     report::setObjectives(state, table);
-    const std::size_t empty = heapInUse() - before;
+    const std::size_t emptyBytes = heapInUse() - before;
     pcg32 random(Seed);
     BootTime now{1h};
-    const BootTime begun = BootClock::now();
+    const BootTime startedAt = BootClock::now();
     for (unsigned i = 0; i < Requests; ++i, now += 1ms) {
-        report::CompletedRequest end;
-        end.service = services[random(serviceCount)];
-        end.upstream = upstreams[random(upstreamCount)];
-        end.failureDomain = "bne-a";
-        end.outcome = random(BadShare) == 0 ? report::Outcome::Failed : report::Outcome::Answered;
-        end.latency = std::chrono::microseconds(random(20000));
-        report::record(state, end, now);
+        report::CompletedRequest request;
+        request.service = services[random(serviceCount)];
+        request.upstream = upstreams[random(upstreamCount)];
+        request.failureDomain = "bne-a";
+        request.outcome = random(RequestsPerFailure) == 0 ? report::Outcome::Failed : report::Outcome::Answered;
+        request.latency = std::chrono::microseconds(random(20000));
+        report::record(state, request, now);
     }
-    const auto spent = BootClock::now() - begun;
-    const std::size_t full = heapInUse() - before;
+    const auto elapsed = BootClock::now() - startedAt;
+    const std::size_t fullBytes = heapInUse() - before;
     const std::string json = report::toJson(report::makeReport(state, now));
     std::printf("services %u upstreams %u: %.0f ns a request, %zu bytes empty, %zu bytes full, report %zu bytes\n",
                 serviceCount,
                 upstreamCount,
-                static_cast<double>(spent.count()) / Requests,
-                empty,
-                full,
+                static_cast<double>(elapsed.count()) / Requests,
+                emptyBytes,
+                fullBytes,
                 json.size());
 }
 
--- a/bench/HttpPathBench.cpp
+++ b/bench/HttpPathBench.cpp
@@ -23,24 +23,24 @@
            + std::chrono::microseconds(usage.ru_utime.tv_usec + usage.ru_stime.tv_usec);
 }
 
-/** Calls a server in the same process, so many at once, until a count is reached. */
-struct Run {
+/** Calls a server in the same process with a fixed concurrency until all calls are made. */
+struct CallLoop {
     loop::EventLoop &loop;
     HttpClient &client;
     HttpCall call;
-    unsigned left;
+    unsigned callsLeft;
     unsigned inProgress = 0;
     std::vector<std::chrono::nanoseconds> latencies;
 
-    void next()
+    void sendNext()
     {
-        if (this->left == 0) {
+        if (this->callsLeft == 0) {
             if (this->inProgress == 0) {
                 this->loop.stop();
             }
             return;
         }
-        --this->left;
+        --this->callsLeft;
         ++this->inProgress;
         this->client.send(this->call, [this](const CallResult &result) {
             if (result.outcome != CallOutcome::Answered) {
@@ -49,26 +49,26 @@
             }
             --this->inProgress;
             this->latencies.push_back(result.elapsed);
-            this->next();
+            this->sendNext();
         });
     }
 };
 
 } // namespace
 
-/** Usage: HttpPathBench [requests] [at once]. One client call and one server request each, in one process. */
+/** Usage: HttpPathBench [requests] [concurrency]. Client and server run in one process. */
 int main(int argc, char **argv)
 {
     constexpr unsigned DefaultRequests = 100000;
     const unsigned requests = argc > 1 ? std::strtoul(argv[1], nullptr, 10) : DefaultRequests;
-    const unsigned atOnce = argc > 2 ? std::strtoul(argv[2], nullptr, 10) : 16;
+    const unsigned concurrency = argc > 2 ? std::strtoul(argv[2], nullptr, 10) : 16;
     const auto loop = loop::EventLoop::create().value();
     HttpClient client(*loop);
     const auto server =
         HttpServer::listen(*loop,
                            HttpServerSettingsBuilder().build().value(),
                            [&](const std::shared_ptr<Exchange> &exchange) {
-                               // As an agent does: the answer comes in a later turn of the loop.
+                               // Answers in a later iteration of the event loop, as an agent does.
                                loop->post([exchange] {
                                    exchange->answer({.status = 200, .headers = {{"A", "b"}}, .body = "hello"});
                                });
@@ -78,26 +78,26 @@
     call.address = "127.0.0.1:" + std::to_string(server->port());
     call.target = "/s/catalogue/item?x=1";
     call.headers = {{"Routing-Key", "key-1"}, {"Request-Timeout", "1000"}, {"Accept", "*/*"}, {"User-Agent", "bench"}};
-    Run run{*loop, client, call, requests, 0, {}};
+    CallLoop run{*loop, client, call, requests, 0, {}};
     loop->post([&] {
-        for (unsigned i = 0; i < atOnce; ++i) {
-            run.next();
+        for (unsigned i = 0; i < concurrency; ++i) {
+            run.sendNext();
         }
     });
     const auto processorBefore = processorTime();
-    const BootTime before = BootClock::now();
+    const BootTime startedAt = BootClock::now();
     loop->run();
-    const double seconds = std::chrono::duration<double>(BootClock::now() - before).count();
-    const double micros = static_cast<double>((processorTime() - processorBefore).count());
+    const double seconds = std::chrono::duration<double>(BootClock::now() - startedAt).count();
+    const double processorMicroseconds = static_cast<double>((processorTime() - processorBefore).count());
     std::sort(run.latencies.begin(), run.latencies.end());
     const auto at = [&](double share) {
         return static_cast<double>(run.latencies[static_cast<std::size_t>(share * (requests - 1))].count()) / 1000;
     };
     std::printf("requests %u at once %u: %.0f/s, processor %.1f us per call and request, p50 %.0f us, p99 %.0f us\n",
                 requests,
-                atOnce,
+                concurrency,
                 requests / seconds,
-                micros / requests,
+                processorMicroseconds / requests,
                 at(0.5),
                 at(0.99));
     return 0;
--- a/bench/RaftBench.cpp
+++ b/bench/RaftBench.cpp
@@ -1,5 +1,5 @@
-// Measures the control group's log: commits with group commit beside one sync per proposal, confirmation rounds, and
-// the installation of snapshots by size. Three replicas, each on its own thread and folder, over loopback.
+// Measures the log of the control group: commits with group commit and with one sync per proposal, confirmation rounds,
+// and the installation of snapshots by size. Three replicas run over loopback, each with its own thread and folder.
 // Usage: RaftBench FOLDER [commits|baseline|confirms|snapshots|pauses]
 
 #include "disk/Record.h"
@@ -29,18 +29,18 @@
 constexpr std::chrono::seconds RunTime{3};
 constexpr std::size_t CommandBytes = 200;
 
-double micros(std::chrono::nanoseconds time)
+double microseconds(std::chrono::nanoseconds time)
 {
     return static_cast<double>(time.count()) / 1000;
 }
 
-double percentile(Durations &sorted, double share)
+double percentile(Durations &durations, double share)
 {
-    if (sorted.empty()) {
+    if (durations.empty()) {
         return 0;
     }
-    std::sort(sorted.begin(), sorted.end());
-    return micros(sorted[static_cast<std::size_t>(share * static_cast<double>(sorted.size() - 1))]);
+    std::sort(durations.startedAt(), durations.endAt());
+    return microseconds(durations[static_cast<std::size_t>(share * static_cast<double>(durations.size() - 1))]);
 }
 
 std::uint16_t freePort()
@@ -58,7 +58,7 @@
     return ntohs(address.sin_port);
 }
 
-/** Times every sync of all replicas. */
+/** Durations of every sync of all replicas. */
 struct SyncTimes {
     std::mutex mutex;
     Durations all;
@@ -67,12 +67,12 @@
 disk::FileOperations timedFiles(SyncTimes &times, bool syncPerProposal)
 {
     disk::FileOperations files = disk::systemFileOperations();
-    const auto plainSync = files.sync;
-    const auto timedSync = [&times, plainSync](int descriptor) {
-        const auto begin = Clock::now();
-        const int error = plainSync(descriptor);
+    const auto systemSync = files.sync;
+    const auto timedSync = [&times, systemSync](int descriptor) {
+        const auto startedAt = Clock::now();
+        const int error = systemSync(descriptor);
         const std::lock_guard guard(times.mutex);
-        times.all.push_back(Clock::now() - begin);
+        times.all.push_back(Clock::now() - startedAt);
         return error;
     };
     files.sync = timedSync;
@@ -84,7 +84,7 @@
         int error = 0;
         while (const auto record = disk::decodeRecord(bytes, done)) {
             error = write(descriptor, bytes.substr(done, record->size), offset + done);
-            // The sync that follows every batch is the one of its last record.
+            // The last record needs no extra sync: the sync that follows every batch covers it.
             if (error == 0 && done + record->size < bytes.size()) {
                 error = timedSync(descriptor);
             }
@@ -98,7 +98,7 @@
     return files;
 }
 
-/** Three replicas; the state machine is a block of bytes of a given size. */
+/** Three replicas whose state machine is a block of bytes of a given size. */
 class Group
 {
 public:
@@ -152,8 +152,8 @@
         hooks.restore = [this](const wire::Version &, std::string_view) {
             this->restored++;
         };
-        hooks.leadershipChanged = [this, index](bool leads, std::uint64_t) {
-            this->leader = leads ? index : -1;
+        hooks.leadershipChanged = [this, index](bool isLeader, std::uint64_t) {
+            this->leader = isLeader ? index : -1;
         };
         member.node = std::move(
             process::ReplicaNode::open(
@@ -177,7 +177,7 @@
         member.thread.join();
     }
 
-    process::ReplicaNode &leading()
+    process::ReplicaNode &leaderNode()
     {
         return *this->members[this->leader].node;
     }
@@ -206,58 +206,58 @@
     Member members[Replicas];
 };
 
-/** Keeps a number of requests under way at the leader for a while. */
-struct Load {
-    using Start = std::function<void(std::function<void(bool done)>)>;
+/** Keeps a fixed number of requests in flight at the leader for RunTime. */
+struct Workload {
+    using SendRequest = std::function<void(std::function<void(bool done)>)>;
 
-    Load(Group &group, int concurrency, Start start)
+    Workload(Group &group, int concurrency, SendRequest start)
         : start(std::move(start))
-        , open(concurrency)
-        , end(Clock::now() + RunTime)
+        , inFlight(concurrency)
+        , endAt(Clock::now() + RunTime)
     {
         group.onLeader([this, concurrency] {
             for (int request = 0; request < concurrency; ++request) {
-                this->next();
+                this->sendNext();
             }
         });
-        this->ended.get_future().wait();
+        this->finished.get_future().wait();
     }
 
-    void next()
+    void sendNext()
     {
-        const auto begin = Clock::now();
-        this->start([this, begin](bool done) {
+        const auto startedAt = Clock::now();
+        this->start([this, startedAt](bool done) {
             const auto now = Clock::now();
             this->failures += done ? 0 : 1;
             if (done) {
-                this->latencies.push_back(now - begin);
+                this->latencies.push_back(now - startedAt);
             }
-            if (now < this->end) {
-                this->next();
-            } else if (--this->open == 0) {
-                this->ended.set_value();
+            if (now < this->endAt) {
+                this->sendNext();
+            } else if (--this->inFlight == 0) {
+                this->finished.set_value();
             }
         });
     }
 
-    const Start start;
-    int open;
-    const Clock::time_point end;
+    const SendRequest start;
+    int inFlight;
+    const Clock::time_point endAt;
     Durations latencies;
     int failures = 0;
-    std::promise<void> ended;
+    std::promise<void> finished;
 };
 
-void report(const char *what, int concurrency, Load &load)
+void report(const char *label, int concurrency, Workload &workload)
 {
-    const double rate = static_cast<double>(load.latencies.size()) / std::chrono::duration<double>(RunTime).count();
+    const double rate = static_cast<double>(workload.latencies.size()) / std::chrono::duration<double>(RunTime).count();
     std::printf("%-28s %5d under way: %9.0f /s, p50 %8.0f us, p99 %8.0f us, failed %d\n",
-                what,
+                label,
                 concurrency,
                 rate,
-                percentile(load.latencies, 0.5),
-                percentile(load.latencies, 0.99),
-                load.failures);
+                percentile(workload.latencies, 0.5),
+                percentile(workload.latencies, 0.99),
+                workload.failures);
     std::fflush(stdout);
 }
 
@@ -265,16 +265,16 @@
 {
     for (const int concurrency : {1, 16, 256, 2048}) {
         Group group(folder, 0, 1000000, syncPerProposal);
-        Load load(group, concurrency, [&group](const std::function<void(bool)> &done) {
-            group.leading().propose(std::string(CommandBytes, 'c'), [done](const process::ProposeResult &result) {
+        Workload workload(group, concurrency, [&group](const std::function<void(bool)> &done) {
+            group.leaderNode().propose(std::string(CommandBytes, 'c'), [done](const process::ProposeResult &result) {
                 done(result.kind == process::ProposeOutcome::Applied);
             });
         });
-        report(syncPerProposal ? "commit, sync per proposal" : "commit, group commit", concurrency, load);
+        report(syncPerProposal ? "commit, sync per proposal" : "commit, group commit", concurrency, workload);
         const std::lock_guard guard(group.syncs.mutex);
         Durations &syncs = group.syncs.all;
         const double perCommit = static_cast<double>(syncs.size()) / Replicas
-                                 / static_cast<double>(std::max<std::size_t>(1, load.latencies.size()));
+                                 / static_cast<double>(std::max<std::size_t>(1, workload.latencies.size()));
         std::printf("%28s sync p50 %.0f us, p99 %.0f us; syncs per commit and replica %.3f\n",
                     "",
                     percentile(syncs, 0.5),
@@ -287,59 +287,59 @@
 {
     for (const int concurrency : {1, 256}) {
         Group group(folder, 0, 1000000, false);
-        Load load(group, concurrency, [&group](const std::function<void(bool)> &done) {
-            group.leading().confirmLeadership(done);
+        Workload workload(group, concurrency, [&group](const std::function<void(bool)> &done) {
+            group.leaderNode().confirmLeadership(done);
         });
-        report("confirmation round", concurrency, load);
+        report("confirmation round", concurrency, workload);
     }
 }
 
 void measureSnapshots(const std::filesystem::path &folder)
 {
     for (const std::size_t megabytes : {1, 4, 16, 64}) {
-        constexpr int Missed = 600;
-        Group group(folder, megabytes * 1024 * 1024, Missed / 2, false);
-        const int away = (group.leader + 1) % Replicas;
-        group.stop(away);
-        std::promise<void> written;
-        std::atomic<int> left{Missed};
+        constexpr int MissedEntries = 600;
+        Group group(folder, megabytes * 1024 * 1024, MissedEntries / 2, false);
+        const int stoppedReplica = (group.leader + 1) % Replicas;
+        group.stop(stoppedReplica);
+        std::promise<void> allCommitted;
+        std::atomic<int> entriesLeft{MissedEntries};
         group.onLeader([&] {
-            for (int number = 0; number < Missed; ++number) {
-                group.leading().propose("c", [&](const process::ProposeResult &) {
-                    if (--left == 0) {
-                        written.set_value();
+            for (int number = 0; number < MissedEntries; ++number) {
+                group.leaderNode().propose("c", [&](const process::ProposeResult &) {
+                    if (--entriesLeft == 0) {
+                        allCommitted.set_value();
                     }
                 });
             }
         });
-        written.get_future().wait();
-        // Only a snapshot that is on disk lets go of the log.
+        allCommitted.get_future().wait();
+        // The log is truncated only after the snapshot is on disk.
         std::this_thread::sleep_for(3s);
-        const auto begin = Clock::now();
-        group.start(away);
+        const auto startedAt = Clock::now();
+        group.start(stoppedReplica);
         while (group.restored == 0) {
             std::this_thread::sleep_for(200us);
         }
         std::printf("snapshot of %3zu MB: installed %.1f ms after the replica's start\n",
                     megabytes,
-                    micros(Clock::now() - begin) / 1000);
+                    microseconds(Clock::now() - startedAt) / 1000);
         std::fflush(stdout);
     }
 }
 
-/** Commits while snapshots are written: the writer of a replica is busy with one or the other. */
+/** Measures commits while snapshots are written: a replica has one writer for both. */
 void measurePauses(const std::filesystem::path &folder)
 {
     for (const std::size_t megabytes : {0, 4, 16}) {
         Group group(folder, megabytes * 1024 * 1024, 8192, false);
-        Load load(group, 16, [&group](const std::function<void(bool)> &done) {
-            group.leading().propose(std::string(CommandBytes, 'c'), [done](const process::ProposeResult &result) {
+        Workload workload(group, 16, [&group](const std::function<void(bool)> &done) {
+            group.leaderNode().propose(std::string(CommandBytes, 'c'), [done](const process::ProposeResult &result) {
                 done(result.kind == process::ProposeOutcome::Applied);
             });
         });
-        const std::string what = "commit, state of " + std::to_string(megabytes) + " MB";
-        report(what.c_str(), 16, load);
-        std::printf("%28s longest %.0f us\n", "", percentile(load.latencies, 1));
+        const std::string label = "commit, state of " + std::to_string(megabytes) + " MB";
+        report(label.c_str(), 16, workload);
+        std::printf("%28s longest %.0f us\n", "", percentile(workload.latencies, 1));
     }
 }
 
@@ -352,23 +352,23 @@
         return 2;
     }
     const std::filesystem::path folder = std::filesystem::path(argv[1]) / "raft-bench";
-    const std::string only = argc == 3 ? argv[2] : "";
-    const auto wanted = [&only](const char *part) {
-        return only.empty() || only == part;
+    const std::string selected = argc == 3 ? argv[2] : "";
+    const auto isSelected = [&selected](const char *measurement) {
+        return selected.empty() || selected == measurement;
     };
-    if (wanted("commits")) {
+    if (isSelected("commits")) {
         measureCommits(folder, false);
     }
-    if (wanted("baseline")) {
+    if (isSelected("baseline")) {
         measureCommits(folder, true);
     }
-    if (wanted("confirms")) {
+    if (isSelected("confirms")) {
         measureConfirms(folder);
     }
-    if (wanted("snapshots")) {
+    if (isSelected("snapshots")) {
         measureSnapshots(folder);
     }
-    if (wanted("pauses")) {
+    if (isSelected("pauses")) {
         measurePauses(folder);
     }
     return 0;
--- a/bench/RequestModel.h
+++ b/bench/RequestModel.h
@@ -19,7 +19,7 @@
 using namespace std::chrono_literals;
 using std::chrono::nanoseconds;
 
-/** What one run compares. */
+/** The policy of one run: routing, admission, retries and hedging. */
 struct Policy {
     const char *name = "";
     agent::ChoicePolicy choice = agent::ChoicePolicy::TwoChoices;
@@ -28,37 +28,37 @@
     bool hedging = true;
 };
 
-/** A spell in which an upstream is slower. */
-struct Slowness {
+/** A period in which an upstream is slower by a factor. */
+struct SlowPeriod {
     unsigned upstream = 0;
     BootTime from;
     BootTime until;
     double factor = 10;
 };
 
-/** One service, its upstreams and its callers, in virtual time. */
+/** One service with its upstreams and callers, simulated in virtual time. */
 struct Scenario {
     unsigned upstreams = 4;
     unsigned slots = 12;
     unsigned entryAgents = 11;
-    nanoseconds service{4ms};
-    nanoseconds oneWay{500us};
+    nanoseconds meanServiceTime{4ms};
+    nanoseconds oneWayDelay{500us};
     nanoseconds deadline{1s};
-    /** Requests per second at a time. */
+    /** Requests per second as a function of time. */
     std::function<double(BootTime)> rate;
-    nanoseconds length{15s};
+    nanoseconds runTime{15s};
     std::vector<double> weights;
-    std::vector<Slowness> slownesses;
-    /** Upstream 0 starts cold at this time: three slots, three times as slow, until so many answers. */
+    std::vector<SlowPeriod> slowPeriods;
+    /** Upstream 0 starts cold at this time: it has three slots and is three times as slow for the first coldAnswers. */
     BootTime coldAt = BootTime::max();
     unsigned coldAnswers = 2000;
-    /** Answers carry a load of 0, whatever the load is. */
-    bool lyingLoad = false;
+    /** Answers report a load of 0 instead of the actual load. */
+    bool reportsZeroLoad = false;
     std::uint64_t seed = 1;
 };
 
-/** What a run measured. */
-struct Outcome {
+/** Measurements of a run; latencies in milliseconds. */
+struct RunResult {
     std::vector<double> latencies;
     unsigned long offered = 0;
     unsigned long answered = 0;
@@ -66,25 +66,25 @@
     unsigned long expired = 0;
     unsigned long sent = 0;
     std::vector<unsigned long> shares;
-    /** Answers per whole second. */
+    /** Number of answers in each second of the run. */
     std::map<long, unsigned long> goodput;
-    /** Most requests at once in the cold upstream, as a multiple of what it can bear. */
-    double coldCrowding = 0;
+    /** Maximum concurrent requests in the cold upstream, as a multiple of its cold slots. */
+    double maxColdOverload = 0;
 
-    double quantile(double part)
+    double quantile(double share)
     {
         if (this->latencies.empty()) {
             return 0;
         }
-        const auto place = static_cast<std::size_t>(part * static_cast<double>(this->latencies.size() - 1));
+        const auto rank = static_cast<std::size_t>(share * static_cast<double>(this->latencies.size() - 1));
         std::nth_element(this->latencies.begin(),
-                         this->latencies.begin() + static_cast<std::ptrdiff_t>(place),
+                         this->latencies.begin() + static_cast<std::ptrdiff_t>(rank),
                          this->latencies.end());
-        return this->latencies[place];
+        return this->latencies[rank];
     }
 };
 
-/** Carries out the core's decisions against upstreams with slots and exponential service times. */
+/** Executes the decisions of the agent's core against upstreams with slots and exponential service times. */
 class RequestModel
 {
 public:
@@ -95,10 +95,10 @@
         , agents(scenario.entryAgents)
         , servers(scenario.upstreams)
     {
-        this->summary.shares.resize(scenario.upstreams);
+        this->result.shares.resize(scenario.upstreams);
         for (Server &server : this->servers) {
             agent::GateSettingsBuilder builder;
-            const unsigned ceiling = policy.adaptive ? scenario.slots : MostConnections;
+            const unsigned ceiling = policy.adaptive ? scenario.slots : MaxConnections;
             builder.ceiling(ceiling).adaptive(policy.adaptive).queueLength(policy.adaptive ? 64 : 1000);
             builder.maxWait(policy.adaptive ? 250ms : 10000ms);
             server.gate = agent::makeGate(builder.build().value(), BootTime());
@@ -115,14 +115,14 @@
         }
     }
 
-    Outcome run()
+    RunResult run()
     {
-        this->at(this->now, [this] {
-            this->arrival();
+        this->schedule(this->now, [this] {
+            this->handleArrival();
         });
         if (this->scenario.coldAt != BootTime::max()) {
-            this->at(this->scenario.coldAt, [this] {
-                this->turnCold();
+            this->schedule(this->scenario.coldAt, [this] {
+                this->startCold();
             });
         }
         while (!this->events.empty()) {
@@ -131,22 +131,22 @@
             this->now = event.time;
             event.task();
         }
-        return std::move(this->summary);
+        return std::move(this->result);
     }
 
 private:
-    static constexpr unsigned MostConnections = 126;
+    static constexpr unsigned MaxConnections = 126;
     static constexpr unsigned ColdSlots = 3;
     static constexpr double ColdFactor = 3;
 
     struct Event {
         BootTime time;
-        unsigned long order;
+        unsigned long sequence;
         std::function<void()> task;
 
         bool operator<(const Event &other) const
         {
-            return std::tie(other.time, other.order) < std::tie(this->time, this->order);
+            return std::tie(other.time, other.sequence) < std::tie(this->time, this->sequence);
         }
     };
 
@@ -160,7 +160,7 @@
         std::uint32_t upstream = 0;
         BootTime sentAt;
         unsigned long ticket = 0;
-        bool ended = false;
+        bool hasEnded = false;
     };
 
     struct Request {
@@ -170,14 +170,14 @@
         std::map<unsigned, Attempt> attempts;
     };
 
-    /** An upstream behind its gate: slots, and a queue of its own for what the gate lets through beyond them. */
+    /** An upstream behind its gate: slots, and a queue for requests that the gate admits beyond the slots. */
     struct Server {
         agent::Gate gate;
-        std::map<unsigned long, BootTime> working;
-        std::deque<unsigned long> inside;
-        unsigned coldLeft = 0;
-        /** When the gate is looked at next. */
-        BootTime wakeAt;
+        std::map<unsigned long, BootTime> executing;
+        std::deque<unsigned long> waitingForSlot;
+        unsigned coldAnswersLeft = 0;
+        /** When the queue of the gate is processed next. */
+        BootTime nextCheckAt;
     };
 
     struct Ticket {
@@ -188,9 +188,9 @@
         bool cancelled = false;
     };
 
-    void at(BootTime time, std::function<void()> task)
+    void schedule(BootTime time, std::function<void()> task)
     {
-        this->events.push({time, this->lastOrder++, std::move(task)});
+        this->events.push({time, this->nextSequence++, std::move(task)});
     }
 
     double uniform()
@@ -198,15 +198,15 @@
         return (static_cast<double>(this->random()) + 1) / 4294967297.0;
     }
 
-    void arrival()
+    void handleArrival()
     {
-        if (this->now >= BootTime(this->scenario.length)) {
+        if (this->now >= BootTime(this->scenario.runTime)) {
             return;
         }
-        const auto gap =
+        const auto interval =
             nanoseconds(static_cast<long>(-std::log(this->uniform()) / this->scenario.rate(this->now) * 1e9));
-        this->at(this->now + gap, [this] {
-            this->arrival();
+        this->schedule(this->now + interval, [this] {
+            this->handleArrival();
         });
         auto request = std::make_shared<Request>();
         request->entry = &this->agents[this->random(static_cast<std::uint32_t>(this->agents.size()))];
@@ -214,8 +214,8 @@
         request->state.facts.service = "catalogue";
         request->state.facts.method = "GET";
         request->state.facts.deadline = this->now + this->scenario.deadline;
-        this->summary.offered++;
-        this->at(request->state.facts.deadline, [this, request] {
+        this->result.offered++;
+        this->schedule(request->state.facts.deadline, [this, request] {
             this->handle(request, {.kind = agent::EventKind::DeadlinePassed});
         });
         this->handle(request, {.kind = agent::EventKind::Accepted});
@@ -241,13 +241,13 @@
         case agent::ActionKind::Route: {
             const std::uint32_t upstream =
                 agent::choose(request->entry->routing, this->candidates, request->state.tried, this->random, this->now);
-            this->at(this->now, [this, request, upstream] {
+            this->schedule(this->now, [this, request, upstream] {
                 this->handle(request, {.kind = agent::EventKind::Routed, .upstream = upstream});
             });
             break;
         }
         case agent::ActionKind::Wait:
-            this->at(this->now + action.delay, [this, request] {
+            this->schedule(this->now + action.delay, [this, request] {
                 this->handle(request, {.kind = agent::EventKind::Woken});
             });
             break;
@@ -258,7 +258,7 @@
             this->cancel(request, action.attempt);
             break;
         case agent::ActionKind::ArmHedge:
-            this->at(this->now + request->entry->routing.hedgeDelay, [this, request] {
+            this->schedule(this->now + request->entry->routing.hedgeDelay, [this, request] {
                 this->handle(request, {.kind = agent::EventKind::HedgeDue});
             });
             break;
@@ -266,7 +266,7 @@
             this->answered(*request);
             break;
         case agent::ActionKind::Refuse:
-            (action.refusal.status == 504 ? this->summary.expired : this->summary.refused)++;
+            (action.refusal.status == 504 ? this->result.expired : this->result.refused)++;
             break;
         default:
             break;
@@ -275,20 +275,20 @@
 
     void answered(const Request &request)
     {
-        this->summary.answered++;
-        this->summary.latencies.push_back(
+        this->result.answered++;
+        this->result.latencies.push_back(
             std::chrono::duration<double, std::milli>(this->now - request.arrivedAt).count());
-        this->summary.goodput[this->now.time_since_epoch() / 1s]++;
+        this->result.goodput[this->now.time_since_epoch() / 1s]++;
     }
 
     void forward(const std::shared_ptr<Request> &request, const agent::RequestAction &action)
     {
-        this->summary.sent++;
+        this->result.sent++;
         const unsigned long ticket = ++this->lastTicket;
         request->attempts[action.attempt] = {action.upstream, this->now, ticket, false};
         agent::recordSent(request->entry->routing, action.upstream, this->now);
         this->tickets[ticket] = {request, action.attempt, action.upstream - 1, {}, false};
-        this->at(this->now + this->scenario.oneWay, [this, ticket] {
+        this->schedule(this->now + this->scenario.oneWayDelay, [this, ticket] {
             this->reachGate(ticket);
         });
     }
@@ -315,26 +315,27 @@
         Ticket &entry = this->tickets.at(ticket);
         entry.dispatchedAt = this->now;
         Server &server = this->servers[entry.server];
-        if (server.coldLeft > 0) {
-            const double crowding = static_cast<double>(server.working.size() + server.inside.size() + 1) / ColdSlots;
-            this->summary.coldCrowding = std::max(this->summary.coldCrowding, crowding);
+        if (server.coldAnswersLeft > 0) {
+            const double overload =
+                static_cast<double>(server.executing.size() + server.waitingForSlot.size() + 1) / ColdSlots;
+            this->result.maxColdOverload = std::max(this->result.maxColdOverload, overload);
         }
-        this->summary.shares[entry.server]++;
-        server.inside.push_back(ticket);
-        this->work(entry.server);
+        this->result.shares[entry.server]++;
+        server.waitingForSlot.push_back(ticket);
+        this->startWaiting(entry.server);
     }
 
-    /** Starts what the upstream has free slots for. */
-    void work(unsigned index)
+    /** Starts waiting requests while the upstream has free slots. */
+    void startWaiting(unsigned index)
     {
         Server &server = this->servers[index];
-        const unsigned slots = server.coldLeft > 0 ? ColdSlots : this->scenario.slots;
-        while (!server.inside.empty() && server.working.size() < slots) {
-            const unsigned long ticket = server.inside.front();
-            server.inside.pop_front();
+        const unsigned slots = server.coldAnswersLeft > 0 ? ColdSlots : this->scenario.slots;
+        while (!server.waitingForSlot.empty() && server.executing.size() < slots) {
+            const unsigned long ticket = server.waitingForSlot.front();
+            server.waitingForSlot.pop_front();
             const BootTime end = this->now + this->serviceTime(index);
-            server.working[ticket] = end;
-            this->at(end, [this, ticket, index] {
+            server.executing[ticket] = end;
+            this->schedule(end, [this, ticket, index] {
                 this->complete(ticket, index);
             });
         }
@@ -343,55 +344,55 @@
     nanoseconds serviceTime(unsigned index)
     {
         double factor = 0.5 - 0.5 * std::log(this->uniform());
-        for (const Slowness &spell : this->scenario.slownesses) {
-            if (spell.upstream == index && this->now >= spell.from && this->now < spell.until) {
-                factor *= spell.factor;
+        for (const SlowPeriod &period : this->scenario.slowPeriods) {
+            if (period.upstream == index && this->now >= period.from && this->now < period.until) {
+                factor *= period.factor;
             }
         }
-        if (this->servers[index].coldLeft > 0) {
+        if (this->servers[index].coldAnswersLeft > 0) {
             factor *= ColdFactor;
         }
-        return nanoseconds(static_cast<long>(factor * static_cast<double>(this->scenario.service.count())));
+        return nanoseconds(static_cast<long>(factor * static_cast<double>(this->scenario.meanServiceTime.count())));
     }
 
     void complete(unsigned long ticket, unsigned index)
     {
         Server &server = this->servers[index];
-        if (server.working.erase(ticket) == 0) {
+        if (server.executing.erase(ticket) == 0) {
             return;
         }
-        if (server.coldLeft > 0) {
-            server.coldLeft--;
+        if (server.coldAnswersLeft > 0) {
+            server.coldAnswersLeft--;
         }
         this->reply(ticket, agent::AttemptOutcome::Answered, true);
-        this->leaveServer(ticket, index, agent::WorkOutcome::Answered);
+        this->finishAtServer(ticket, index, agent::WorkOutcome::Answered);
     }
 
-    void leaveServer(unsigned long ticket, unsigned index, agent::WorkOutcome outcome)
+    void finishAtServer(unsigned long ticket, unsigned index, agent::WorkOutcome outcome)
     {
         const nanoseconds latency = this->now - this->tickets.at(ticket).dispatchedAt;
         agent::finish(this->servers[index].gate, outcome, latency, this->now);
-        this->work(index);
+        this->startWaiting(index);
         this->wakeQueue(index);
     }
 
     void wakeQueue(unsigned index)
     {
         Server &server = this->servers[index];
-        const agent::GateDecisions moves = agent::processQueue(server.gate, this->now);
-        for (const agent::TicketId ticket : moves.shed) {
+        const agent::GateDecisions decisions = agent::processQueue(server.gate, this->now);
+        for (const agent::TicketId ticket : decisions.shed) {
             this->reply(ticket, agent::AttemptOutcome::Overloaded, false);
         }
-        for (const agent::TicketId ticket : moves.admitted) {
+        for (const agent::TicketId ticket : decisions.admitted) {
             this->dispatch(ticket);
         }
         const BootTime next = agent::nextDispatchAt(server.gate);
-        if (next == BootTime::max() || next <= this->now || server.wakeAt == next) {
+        if (next == BootTime::max() || next <= this->now || server.nextCheckAt == next) {
             return;
         }
-        server.wakeAt = next;
-        this->at(next, [this, index, next] {
-            if (this->servers[index].wakeAt == next) {
+        server.nextCheckAt = next;
+        this->schedule(next, [this, index, next] {
+            if (this->servers[index].nextCheckAt == next) {
                 this->wakeQueue(index);
             }
         });
@@ -403,22 +404,22 @@
         if (entry.cancelled) {
             return;
         }
-        const double load = this->scenario.lyingLoad ? 0 : agent::load(this->servers[entry.server].gate);
-        this->at(this->now + this->scenario.oneWay, [this, entry, outcome, mayHaveRun, load] {
+        const double load = this->scenario.reportsZeroLoad ? 0 : agent::load(this->servers[entry.server].gate);
+        this->schedule(this->now + this->scenario.oneWayDelay, [this, entry, outcome, mayHaveRun, load] {
             if (const auto request = entry.request.lock()) {
-                this->replied(request, entry.attempt, outcome, mayHaveRun, load);
+                this->handleReply(request, entry.attempt, outcome, mayHaveRun, load);
             }
         });
     }
 
-    void replied(const std::shared_ptr<Request> &request,
-                 unsigned id,
-                 agent::AttemptOutcome outcome,
-                 bool mayHaveRun,
-                 double load)
+    void handleReply(const std::shared_ptr<Request> &request,
+                     unsigned id,
+                     agent::AttemptOutcome outcome,
+                     bool mayHaveRun,
+                     double load)
     {
         Attempt &attempt = request->attempts.at(id);
-        if (std::exchange(attempt.ended, true)) {
+        if (std::exchange(attempt.hasEnded, true)) {
             return;
         }
         if (outcome == agent::AttemptOutcome::Answered) {
@@ -435,10 +436,10 @@
     void cancel(const std::shared_ptr<Request> &request, unsigned id)
     {
         Attempt &attempt = request->attempts.at(id);
-        attempt.ended = true;
+        attempt.hasEnded = true;
         agent::recordCancelled(request->entry->routing, attempt.upstream, this->now - attempt.sentAt, this->now);
         const unsigned long ticket = attempt.ticket;
-        this->at(this->now + this->scenario.oneWay, [this, ticket] {
+        this->schedule(this->now + this->scenario.oneWayDelay, [this, ticket] {
             this->cancelAtServer(ticket);
         });
     }
@@ -451,18 +452,18 @@
         if (agent::cancelQueued(server.gate, ticket)) {
             return;
         }
-        const auto waiting = std::find(server.inside.begin(), server.inside.end(), ticket);
-        if (waiting != server.inside.end()) {
-            server.inside.erase(waiting);
-        } else if (server.working.erase(ticket) == 0) {
+        const auto found = std::find(server.waitingForSlot.begin(), server.waitingForSlot.end(), ticket);
+        if (found != server.waitingForSlot.end()) {
+            server.waitingForSlot.erase(found);
+        } else if (server.executing.erase(ticket) == 0) {
             return;
         }
-        this->leaveServer(ticket, entry.server, agent::WorkOutcome::Lost);
+        this->finishAtServer(ticket, entry.server, agent::WorkOutcome::Lost);
     }
 
-    void turnCold()
+    void startCold()
     {
-        this->servers[0].coldLeft = this->scenario.coldAnswers;
+        this->servers[0].coldAnswersLeft = this->scenario.coldAnswers;
         agent::restart(this->servers[0].gate, this->now);
     }
 
@@ -471,19 +472,19 @@
     pcg32 random;
     BootTime now;
     std::priority_queue<Event> events;
-    unsigned long lastOrder = 0;
+    unsigned long nextSequence = 0;
     unsigned long lastTicket = 0;
     std::vector<Agent> agents;
     std::vector<Server> servers;
     std::vector<agent::Candidate> candidates;
     std::map<unsigned long, Ticket> tickets;
-    Outcome summary;
+    RunResult result;
 };
 
-/** @return requests per second that the upstreams can bear when warm */
+/** @return requests per second that all upstreams can serve when warm */
 inline double capacity(const Scenario &scenario)
 {
-    return scenario.upstreams * scenario.slots / std::chrono::duration<double>(scenario.service).count();
+    return scenario.upstreams * scenario.slots / std::chrono::duration<double>(scenario.meanServiceTime).count();
 }
 
 } // namespace bergamotweir::bench
--- a/bench/StateBench.cpp
+++ b/bench/StateBench.cpp
@@ -25,7 +25,7 @@
     return std::chrono::duration<double, std::milli>(time).count();
 }
 
-std::vector<Member> membersOf(std::size_t count)
+std::vector<Member> makeMembers(std::size_t count)
 {
     std::vector<Member> members;
     members.reserve(count + 1);
@@ -35,8 +35,11 @@
     return members;
 }
 
-/** Slices as planSplits() makes them: 64, doubled until each member can have its share; loads differ by a tenth. */
-std::vector<LoadedSlice> slicesFor(std::size_t members, std::size_t perMember)
+/**
+ * Makes slices as planSplits() does: 64, doubled until each member can have its number of slices. Loads vary by up to a
+ * tenth around 1.
+ */
+std::vector<LoadedSlice> makeSlices(std::size_t members, std::size_t perMember)
 {
     std::size_t count = State::InitialSlices;
     while (count < members * perMember) {
@@ -52,8 +55,8 @@
     return slices;
 }
 
-/** Carries moves out. @return share of the load moved */
-double carryOut(std::vector<LoadedSlice> &slices, const std::vector<SliceMove> &moves)
+/** Applies moves to the slices. @return the share of the load that moved */
+double applyMoves(std::vector<LoadedSlice> &slices, const std::vector<SliceMove> &moves)
 {
     double total = 0;
     for (const LoadedSlice &slice : slices) {
@@ -67,7 +70,7 @@
     return moved / total;
 }
 
-/** Churn of the usual baseline: owner = members[hash modulo number of members]. */
+/** @return the churn of the common baseline, owner = members[hash modulo number of members] */
 double moduloChurn(const std::vector<Member> &before, const std::vector<Member> &after)
 {
     pcg64 random(Seed);
@@ -79,22 +82,22 @@
     return static_cast<double>(moved) / SampledKeys;
 }
 
-void churnOf(const char *event,
-             std::size_t perMember,
-             const std::vector<Member> &before,
-             const std::vector<Member> &after)
+void printChurn(const char *event,
+                std::size_t perMember,
+                const std::vector<Member> &before,
+                const std::vector<Member> &after)
 {
-    std::vector<LoadedSlice> slices = slicesFor(before.size(), perMember);
-    carryOut(slices, assign(before, slices));
-    const double least = minChurn(after, slices);
-    const double moved = carryOut(slices, assign(after, slices));
+    std::vector<LoadedSlice> slices = makeSlices(before.size(), perMember);
+    applyMoves(slices, assign(before, slices));
+    const double minimum = minChurn(after, slices);
+    const double moved = applyMoves(slices, assign(after, slices));
     std::printf("%-10s %7zu %7zu %8.4f %8.4f %7.2f %8.4f %9.3f\n",
                 event,
                 before.size(),
                 perMember,
                 moved,
-                least,
-                least > 0 ? moved / least : 0,
+                minimum,
+                minimum > 0 ? moved / minimum : 0,
                 moduloChurn(before, after),
                 imbalance(after, slices));
 }
@@ -105,23 +108,23 @@
     std::printf("event      members per-mem    moved    least   ratio   modulo imbalance\n");
     for (const std::size_t count : {4U, 11U, 100U, 1000U}) {
         for (const std::size_t perMember : {4U, 8U, 16U, 32U}) {
-            const std::vector<Member> before = membersOf(count);
+            const std::vector<Member> before = makeMembers(count);
             std::vector<Member> lost = before;
             lost.erase(lost.begin() + 1);
-            churnOf("lost", perMember, before, lost);
+            printChurn("lost", perMember, before, lost);
             std::vector<Member> joined = before;
             joined.push_back({static_cast<std::uint32_t>(count + 1), 1.0});
-            churnOf("joined", perMember, before, joined);
+            printChurn("joined", perMember, before, joined);
             std::vector<Member> halved = before;
             halved[0].weight = 0.5;
-            churnOf("halved", perMember, before, halved);
+            printChurn("halved", perMember, before, halved);
             std::vector<Member> thirdOut(before.begin(), before.end() - static_cast<std::ptrdiff_t>(count / 3));
-            churnOf("third out", perMember, before, thirdOut);
+            printChurn("third out", perMember, before, thirdOut);
         }
     }
 }
 
-/** Every member leaves and returns in turn; load is evened out after each return, or only after the last one. */
+/** Restarts every member in turn; load is rebalanced after each return, or only after the last one. */
 void benchRollingRestart()
 {
     std::printf("\nrolling restart of the fleet: load moved in all, in fleet loads; each leave alone costs 1\n");
@@ -129,21 +132,22 @@
     for (const std::size_t count : {11U, 100U, 640U}) {
         double moved[2] = {0, 0};
         double modulo = 0;
-        const std::vector<Member> all = membersOf(count);
-        for (const bool each : {true, false}) {
-            std::vector<LoadedSlice> slices = slicesFor(count, 16);
-            carryOut(slices, assign(all, slices));
+        const std::vector<Member> all = makeMembers(count);
+        for (const bool afterEachReturn : {true, false}) {
+            std::vector<LoadedSlice> slices = makeSlices(count, 16);
+            applyMoves(slices, assign(all, slices));
             for (std::size_t number = 0; number < count; ++number) {
                 std::vector<Member> without = all;
                 without.erase(without.begin() + static_cast<std::ptrdiff_t>(number));
-                constexpr double OnlyOrphans = 1e9;
-                moved[each ? 0 : 1] += carryOut(slices, assign(without, slices, each ? DefaultTolerance : OnlyOrphans));
-                if (each) {
-                    moved[0] += carryOut(slices, assign(all, slices));
+                constexpr double OrphansOnlyTolerance = 1e9;
+                moved[afterEachReturn ? 0 : 1] += applyMoves(
+                    slices, assign(without, slices, afterEachReturn ? DefaultTolerance : OrphansOnlyTolerance));
+                if (afterEachReturn) {
+                    moved[0] += applyMoves(slices, assign(all, slices));
                     modulo += number % 10 == 0 ? 2 * moduloChurn(all, without) : 0;
                 }
             }
-            moved[each ? 0 : 1] += carryOut(slices, assign(all, slices));
+            moved[afterEachReturn ? 0 : 1] += applyMoves(slices, assign(all, slices));
         }
         std::printf("%7zu %17.2f %16.2f %12.0f\n", count, moved[0], moved[1], modulo * 10);
     }
@@ -153,13 +157,13 @@
 {
     std::printf("\nassign() at 6400 members, one lost\nper-mem  slices  first ms  one lost ms\n");
     for (const std::size_t perMember : {4U, 8U, 16U, 32U}) {
-        std::vector<Member> members = membersOf(6400);
-        std::vector<LoadedSlice> slices = slicesFor(members.size(), perMember);
+        std::vector<Member> members = makeMembers(6400);
+        std::vector<LoadedSlice> slices = makeSlices(members.size(), perMember);
         const auto start = Clock::now();
-        carryOut(slices, assign(members, slices));
+        applyMoves(slices, assign(members, slices));
         const auto first = Clock::now();
         members.pop_back();
-        carryOut(slices, assign(members, slices));
+        applyMoves(slices, assign(members, slices));
         std::printf("%7zu %7zu %9.1f %12.1f\n",
                     perMember,
                     slices.size(),
@@ -168,7 +172,7 @@
     }
 }
 
-/** Feeds a state with one service, upstreams and evenly owned slices. */
+/** A state with one service, its upstreams and evenly assigned slices. */
 class Fleet
 {
 public:
@@ -203,7 +207,7 @@
         return this->state.apply(version, command);
     }
 
-    void split(std::size_t slices, std::size_t owners)
+    void assignSlices(std::size_t slices, std::size_t owners)
     {
         wire::Command command;
         command.mutable_assign()->set_service("catalogue");
@@ -231,7 +235,7 @@
         "\nsnapshot, upstreams with 16 slices each\nupstreams  snapshot KB  full update KB  save ms  restore ms\n");
     for (const std::size_t upstreams : {11U, 100U, 400U, 1600U, 6400U}) {
         Fleet fleet(upstreams);
-        fleet.split(upstreams * 16, upstreams);
+        fleet.assignSlices(upstreams * 16, upstreams);
         const auto start = Clock::now();
         const std::string bytes = fleet.state.snapshot();
         const auto saved = Clock::now();
@@ -246,7 +250,7 @@
     }
 }
 
-/** What the claims of a day cost the loop that also sends the group's heartbeats. */
+/** Measures the cost of a day's claims to the event loop that also sends the group's heartbeats. */
 void benchClaims()
 {
     constexpr std::size_t BodyBytes = 200;
@@ -285,8 +289,8 @@
     }
 }
 
-/** One round of heartbeats of every agent through the coordinator. @return bytes of the messages of one agent */
-std::size_t beat(Coordinator &coordinator, std::size_t agents, std::uint64_t sequence, BootTime now)
+/** Passes one heartbeat of every agent through the coordinator. @return bytes of the messages of one agent */
+std::size_t sendHeartbeats(Coordinator &coordinator, std::size_t agents, std::uint64_t sequence, BootTime now)
 {
     wire::AgentMessage renew;
     renew.mutable_renew()->set_sequence(sequence);
@@ -308,7 +312,7 @@
 
 void benchRenewals()
 {
-    // gRPC adds 5 bytes, HTTP/2 9, TCP/IP with its acknowledgement some 100 to each message.
+    // Added to each message: gRPC 5 bytes, HTTP/2 9, TCP/IP with its acknowledgement about 100.
     constexpr std::size_t FramingBytes = 114;
     constexpr std::size_t PerSecond = 10;
     constexpr std::size_t Rounds = 50;
@@ -316,7 +320,7 @@
         "\nrenewals, core of the leader alone\nagents  us per renewal  tick ms  message bytes  KB/s per agent\n");
     for (const std::size_t agents : {100U, 400U, 1600U, 6400U}) {
         Fleet fleet(agents);
-        fleet.split(agents * 16, agents);
+        fleet.assignSlices(agents * 16, agents);
         Coordinator coordinator(CoordinatorSettings{}, fleet.state);
         BootTime now{std::chrono::seconds(1)};
         coordinator.lead(now);
@@ -330,21 +334,21 @@
         coordinator.confirmed(true, now);
         coordinator.takeActions();
         std::size_t bytes = 0;
-        Clock::duration beating{};
-        Clock::duration ticking{};
+        Clock::duration heartbeatTime{};
+        Clock::duration tickTime{};
         for (std::size_t round = 1; round <= Rounds; ++round) {
             const auto start = Clock::now();
-            bytes = beat(coordinator, agents, round, now);
-            const auto beaten = Clock::now();
+            bytes = sendHeartbeats(coordinator, agents, round, now);
+            const auto heartbeatsEndedAt = Clock::now();
             now += std::chrono::milliseconds(10);
             coordinator.tick(now);
-            ticking += Clock::now() - beaten;
-            beating += beaten - start;
+            tickTime += Clock::now() - heartbeatsEndedAt;
+            heartbeatTime += heartbeatsEndedAt - start;
         }
         std::printf("%6zu %15.2f %8.2f %14zu %15.2f\n",
                     agents,
-                    milliseconds(beating) * 1000 / static_cast<double>(Rounds * agents),
-                    milliseconds(ticking) / Rounds,
+                    milliseconds(heartbeatTime) * 1000 / static_cast<double>(Rounds * agents),
+                    milliseconds(tickTime) / Rounds,
                     bytes,
                     static_cast<double>((bytes + 2 * FramingBytes) * PerSecond) / 1024);
     }
--- a/bench/TableBench.cpp
+++ b/bench/TableBench.cpp
@@ -1,5 +1,5 @@
-// What a table costs by its number of rows: time to read, to look a policy up, to compare two, and memory.
-// Seeded; prints one line for each point.
+// Measures the cost of a table by its number of rows: time to parse it, to look up a policy and to compare two tables,
+// and memory. Seeded; prints one line for each number of rows.
 
 #include "base/BootClock.h"
 #include "table/RowDifference.h"
@@ -27,7 +27,7 @@
     return "upstream-" + std::to_string(number);
 }
 
-/** One row for each upstream, with a weight and a limit of its own. */
+/** @return a table with one row for each upstream, each with its own weight and limit */
 std::string tableText(unsigned rows, unsigned seed)
 {
     pcg32 random(Seed + seed);
@@ -48,9 +48,9 @@
 {
     const std::string csv = tableText(rows, 0);
     const std::size_t before = mallinfo2().uordblks;
-    const BootTime begun = BootClock::now();
+    const BootTime startedAt = BootClock::now();
     const table::Table table = table::Table::parse(csv).value();
-    const BootTime parsed = BootClock::now();
+    const BootTime parsedAt = BootClock::now();
     const std::size_t bytes = mallinfo2().uordblks - before;
     pcg32 random(Seed);
     double weights = 0;
@@ -58,20 +58,20 @@
         const unsigned row = random(rows);
         weights += table.upstream("service-" + std::to_string(row % Services), "domain-1", upstreamName(row)).weight;
     }
-    const BootTime found = BootClock::now();
+    const BootTime lookedUpAt = BootClock::now();
     const table::Table other = table::Table::parse(tableText(rows, 1)).value();
-    const BootTime compareBegun = BootClock::now();
+    const BootTime compareStartedAt = BootClock::now();
     const std::size_t differing = table::differences(table, other).size();
-    const BootTime compared = BootClock::now();
+    const BootTime comparedAt = BootClock::now();
     std::printf("rows %u: text %zu bytes, read in %.2f ms, %zu bytes held, %.0f ns a look-up (sum %.0f), "
                 "compared in %.2f ms (%zu differ)\n",
                 rows,
                 csv.size(),
-                milliseconds(parsed - begun),
+                milliseconds(parsedAt - startedAt),
                 bytes,
-                static_cast<double>((found - parsed).count()) / Lookups,
+                static_cast<double>((lookedUpAt - parsedAt).count()) / Lookups,
                 weights,
-                milliseconds(compared - compareBegun),
+                milliseconds(comparedAt - compareStartedAt),
                 differing);
 }
 
--- a/tools/load/Generator.cpp
+++ b/tools/load/Generator.cpp
@@ -10,9 +10,12 @@
 namespace {
 
 constexpr std::chrono::milliseconds ResendDelay{5};
-/** Beyond the request's own time: an agent answers at its deadline, and that answer is wanted. */
+/**
+ * Time that the client waits beyond the Request-Timeout: an agent answers at the deadline, and that answer has to be
+ * received.
+ */
 constexpr std::chrono::milliseconds TimeoutMargin{300};
-constexpr int FirstRedirect = 300;
+constexpr int FirstRedirectStatus = 300;
 
 Verdict refusedVerdict(const net::HttpAnswer &answer)
 {
@@ -26,7 +29,7 @@
     return *ran == "yes" ? Verdict::RefusedYes : Verdict::RefusedUnknown;
 }
 
-Verdict verdictOf(const net::CallResult &result, const std::string &testId, bool withIdempotencyKey)
+Verdict verdictOf(const net::CallResult &result, const std::string &testId, bool hasIdempotencyKey)
 {
     switch (result.outcome) {
     case net::CallOutcome::NotSent:
@@ -39,27 +42,28 @@
     case net::CallOutcome::TruncatedAnswer:
     case net::CallOutcome::TooLarge:
     case net::CallOutcome::Cancelled:
-        return Verdict::Broken;
+        return Verdict::ConnectionLost;
     }
-    if (result.answer.status >= FirstRedirect) {
+    if (result.answer.status >= FirstRedirectStatus) {
         return refusedVerdict(result.answer);
     }
     const std::string *echo = net::findHeader(result.answer.headers, "Test-Id");
-    // An answer that was recorded for the Idempotency-Key comes without the upstream's headers.
-    const bool ownHeader = echo == nullptr ? withIdempotencyKey : *echo == testId;
-    const bool own = ownHeader && result.answer.body.find("\"test_id\":\"" + testId + "\"") != std::string::npos;
-    return own ? Verdict::Answered : Verdict::Wrong;
+    // A stored answer that is replayed for the Idempotency-Key has no headers of the upstream.
+    const bool headerMatches = echo == nullptr ? hasIdempotencyKey : *echo == testId;
+    const bool isOwnAnswer =
+        headerMatches && result.answer.body.find("\"test_id\":\"" + testId + "\"") != std::string::npos;
+    return isOwnAnswer ? Verdict::Answered : Verdict::Wrong;
 }
 
 } // namespace
 
-Generator::Generator(loop::EventLoop &loop, const LoadSettings &settings, std::function<void()> ended)
+Generator::Generator(loop::EventLoop &loop, const LoadSettings &settings, std::function<void()> onEnd)
     : loop(loop)
     , settings(settings)
-    , ended(std::move(ended))
+    , onEnd(std::move(onEnd))
     , client(loop, {.maxIdleConnections = 8192, .maxConnectionsPerPeer = settings.connections})
     , random(settings.seed)
-    // The reactor's timers have a grain of a millisecond; arrivals need a finer one.
+    // The reactor's timers have a resolution of one millisecond; arrivals need a finer one.
     , timer(timerfd_create(CLOCK_BOOTTIME, TFD_CLOEXEC | TFD_NONBLOCK))
     , prefix(std::to_string(getpid()) + "-" + std::to_string(BootClock::now().time_since_epoch().count()) + "-")
 {
@@ -73,9 +77,9 @@
 
 void Generator::start()
 {
-    this->begun = BootClock::now();
-    this->end = this->begun + this->settings.duration;
-    this->nextArrival = this->begun;
+    this->startedAt = BootClock::now();
+    this->endAt = this->startedAt + this->settings.duration;
+    this->nextArrivalAt = this->startedAt;
     this->loop.watch(this->timer, {.readable = true}, [this](loop::Readiness) {
         std::uint64_t expirations = 0;
         if (read(this->timer, &expirations, sizeof expirations) > 0) {
@@ -83,7 +87,7 @@
         }
     });
     this->loop.after(this->settings.duration, [this] {
-        this->over = true;
+        this->isOver = true;
         this->checkEnd();
     });
     for (unsigned i = 0; i < this->settings.concurrency; ++i) {
@@ -101,7 +105,7 @@
 
 void Generator::armTimer()
 {
-    const auto since = this->nextArrival.time_since_epoch();
+    const auto since = this->nextArrivalAt.time_since_epoch();
     const auto seconds = std::chrono::duration_cast<std::chrono::seconds>(since);
     const itimerspec at{.it_interval = {},
                         .it_value = {.tv_sec = seconds.count(), .tv_nsec = (since - seconds).count()}};
@@ -110,53 +114,55 @@
 
 void Generator::onTimer()
 {
-    while (this->nextArrival <= BootClock::now() && this->nextArrival < this->end) {
-        this->sendOne(this->nextArrival);
-        const double gap = -std::log(1 - this->uniform()) / this->settings.rate;
-        this->nextArrival += std::chrono::duration_cast<std::chrono::nanoseconds>(std::chrono::duration<double>(gap));
+    while (this->nextArrivalAt <= BootClock::now() && this->nextArrivalAt < this->endAt) {
+        this->sendOne(this->nextArrivalAt);
+        const double interval = -std::log(1 - this->uniform()) / this->settings.rate;
+        this->nextArrivalAt +=
+            std::chrono::duration_cast<std::chrono::nanoseconds>(std::chrono::duration<double>(interval));
     }
-    if (this->nextArrival < this->end) {
+    if (this->nextArrivalAt < this->endAt) {
         this->armTimer();
     }
 }
 
-void Generator::sendOne(BootTime intended)
+void Generator::sendOne(BootTime intendedAt)
 {
     Outcome &record = this->outcomes.emplace_back();
     record.number = this->outcomes.size();
-    record.intended = intended;
-    const bool onlyOne = this->settings.keyedService.empty() || this->settings.unkeyedService.empty();
-    const bool keyed = onlyOne ? !this->settings.keyedService.empty() : this->uniform() < this->settings.keyedShare;
-    if (keyed) {
-        const bool post = this->uniform() < this->settings.postShare;
-        record.kind = post ? Kind::KeyedPost : Kind::KeyedGet;
+    record.intendedAt = intendedAt;
+    const bool isSingleService = this->settings.keyedService.empty() || this->settings.unkeyedService.empty();
+    const bool isKeyed =
+        isSingleService ? !this->settings.keyedService.empty() : this->uniform() < this->settings.keyedShare;
+    if (isKeyed) {
+        const bool isPost = this->uniform() < this->settings.postShare;
+        record.kind = isPost ? Kind::KeyedPost : Kind::KeyedGet;
         record.key = static_cast<unsigned>(this->random(this->settings.keys));
-        record.withIdempotencyKey = post && this->uniform() < this->settings.idempotencyShare;
-        record.resent = record.withIdempotencyKey && this->uniform() < this->settings.resendShare;
+        record.hasIdempotencyKey = isPost && this->uniform() < this->settings.idempotencyShare;
+        record.isResent = record.hasIdempotencyKey && this->uniform() < this->settings.resendShare;
     }
     ++this->inProgress;
-    // A deque does not move its elements when it grows.
+    // The reference stays valid: a deque does not move its elements when it grows at its end.
     this->client.send(this->callFor(record), [this, &record](const net::CallResult &result) {
-        record.ended = BootClock::now();
+        record.endedAt = BootClock::now();
         record.status = result.answer.status;
-        record.verdict = verdictOf(result, this->testId(record), record.withIdempotencyKey);
+        record.verdict = verdictOf(result, this->testId(record), record.hasIdempotencyKey);
         --this->inProgress;
-        if (this->settings.concurrency != 0 && !this->over) {
+        if (this->settings.concurrency != 0 && !this->isOver) {
             this->sendOne(BootClock::now());
         }
         this->checkEnd();
     });
-    if (record.resent) {
-        this->sendAgain(record);
+    if (record.isResent) {
+        this->resend(record);
     }
 }
 
-void Generator::sendAgain(Outcome &record)
+void Generator::resend(Outcome &record)
 {
     ++this->inProgress;
     this->loop.after(ResendDelay, [this, &record] {
         this->client.send(this->callFor(record), [this, &record](const net::CallResult &result) {
-            record.second = verdictOf(result, this->testId(record), record.withIdempotencyKey);
+            record.secondVerdict = verdictOf(result, this->testId(record), record.hasIdempotencyKey);
             --this->inProgress;
             this->checkEnd();
         });
@@ -166,13 +172,13 @@
 net::HttpCall Generator::callFor(const Outcome &record)
 {
     const std::string id = this->testId(record);
-    const bool keyed = record.kind != Kind::UnkeyedGet;
+    const bool isKeyed = record.kind != Kind::UnkeyedGet;
     net::HttpCall call;
     call.address = this->settings.targets[this->random(static_cast<std::uint32_t>(this->settings.targets.size()))];
-    call.target = "/s/" + (keyed ? this->settings.keyedService : this->settings.unkeyedService) + "/item";
+    call.target = "/s/" + (isKeyed ? this->settings.keyedService : this->settings.unkeyedService) + "/item";
     call.headers = {{"Test-Id", id}, {"Request-Timeout", std::to_string(this->settings.timeout.count())}};
     call.timeout = this->settings.timeout + TimeoutMargin;
-    if (keyed) {
+    if (isKeyed) {
         call.headers.push_back({"Routing-Key", "key-" + std::to_string(record.key)});
     }
     if (record.kind == Kind::KeyedPost) {
@@ -180,7 +186,7 @@
         call.headers.push_back({"Content-Type", "application/json"});
         call.body = "{\"test_id\":\"" + id + "\"}";
     }
-    if (record.withIdempotencyKey) {
+    if (record.hasIdempotencyKey) {
         call.headers.push_back({"Idempotency-Key", id});
     }
     return call;
@@ -188,17 +194,17 @@
 
 void Generator::checkEnd()
 {
-    if (this->over && this->inProgress == 0 && this->ended) {
-        const std::function<void()> task = std::move(this->ended);
-        this->ended = nullptr;
-        task();
+    if (this->isOver && this->inProgress == 0 && this->onEnd) {
+        const std::function<void()> callback = std::move(this->onEnd);
+        this->onEnd = nullptr;
+        callback();
     }
 }
 
 double Generator::uniform()
 {
-    constexpr int Bits = 53;
-    return std::ldexp(static_cast<double>(this->random() >> (64 - Bits)), -Bits);
+    constexpr int MantissaBits = 53;
+    return std::ldexp(static_cast<double>(this->random() >> (64 - MantissaBits)), -MantissaBits);
 }
 
 } // namespace bergamotweir::load
--- a/tools/load/Generator.h
+++ b/tools/load/Generator.h
@@ -13,48 +13,48 @@
 namespace bergamotweir::load {
 
 /**
- * Sends the load and records what became of each request.
- * Open loop: arrivals are drawn beforehand and don't wait for answers, and latency counts from the intended time, so
- * that waiting is not hidden. Owned by main.
+ * Sends the load and records the outcome of each request.
+ * In an open loop, arrival times don't depend on answers, and latency is measured from the intended time, so that
+ * queueing delay is included (no coordinated omission). Owned by main.
  */
 class Generator
 {
 public:
-    /** @param ended called once, when the load is over and each request has ended */
-    Generator(loop::EventLoop &loop, const LoadSettings &settings, std::function<void()> ended);
+    /** @param onEnd called once, when the duration has passed and every request has ended */
+    Generator(loop::EventLoop &loop, const LoadSettings &settings, std::function<void()> onEnd);
     ~Generator();
     Generator(const Generator &) = delete;
     Generator &operator=(const Generator &) = delete;
 
     void start();
 
-    /** @return the id that the request carries in Test-Id */
+    /** @return the value of the request's Test-Id header */
     std::string testId(const Outcome &record) const;
 
-    /** Requests in the order of their intended times. */
+    /** All requests, ordered by intended time. */
     std::deque<Outcome> outcomes;
-    BootTime begun;
+    BootTime startedAt;
 
 private:
     void onTimer();
     void armTimer();
-    void sendOne(BootTime intended);
-    void sendAgain(Outcome &record);
+    void sendOne(BootTime intendedAt);
+    void resend(Outcome &record);
     net::HttpCall callFor(const Outcome &record);
     void checkEnd();
     double uniform();
 
     loop::EventLoop &loop;
     const LoadSettings &settings;
-    std::function<void()> ended;
+    std::function<void()> onEnd;
     net::HttpClient client;
     pcg64 random;
     int timer;
-    BootTime nextArrival;
-    BootTime end;
+    BootTime nextArrivalAt;
+    BootTime endAt;
     std::size_t inProgress = 0;
     std::string prefix;
-    bool over = false;
+    bool isOver = false;
 };
 
 } // namespace bergamotweir::load
--- a/tools/load/LedgerCheck.cpp
+++ b/tools/load/LedgerCheck.cpp
@@ -52,17 +52,17 @@
         const unsigned runs = found == executions.end() ? 0 : found->second;
         verdict.executions += runs;
         if (outcome.kind == Kind::KeyedPost && runs > 1) {
-            ++verdict.doubled;
+            ++verdict.duplicated;
             addExample(verdict, id, "ran more than once");
         }
-        const bool acknowledged = outcome.verdict == Verdict::Answered || outcome.second == Verdict::Answered;
+        const bool acknowledged = outcome.verdict == Verdict::Answered || outcome.secondVerdict == Verdict::Answered;
         if (acknowledged && runs == 0) {
             ++verdict.lost;
             addExample(verdict, id, "was acknowledged and never ran");
         }
-        // A second send says no truly when only the first one ran.
-        if (outcome.verdict == Verdict::RefusedNo && !outcome.resent && runs > 0) {
-            ++verdict.untrueNo;
+        // A resent request has two outcomes: Request-Ran: no is correct for one when only the other ran.
+        if (outcome.verdict == Verdict::RefusedNo && !outcome.isResent && runs > 0) {
+            ++verdict.falseRefusals;
             addExample(verdict, id, "ran and its caller was told no");
         }
     }
--- a/tools/load/LoadSettings.cpp
+++ b/tools/load/LoadSettings.cpp
@@ -36,20 +36,20 @@
 Example: load --targets 127.0.0.1:7001,127.0.0.1:7011 --keyed-service enrolments --rate 500 --ledgers u1.ledger
 )";
 
-constexpr double Many = 1e9;
+constexpr double MaxValue = 1e9;
 
-double number(const char *flag, const char *text, double most, Findings &findings)
+double number(const char *flag, const char *text, double maximum, Findings &findings)
 {
     char *end = nullptr;
     const double value = std::strtod(text, &end);
-    if (end == text || *end != '\0' || value < 0 || value > most) {
+    if (end == text || *end != '\0' || value < 0 || value > maximum) {
         findings.push_back({std::string("--") + flag, std::string("'") + text + "' is out of range", ""});
         return 0;
     }
     return value;
 }
 
-std::vector<std::string> listOf(const char *text)
+std::vector<std::string> splitList(const char *text)
 {
     std::vector<std::string> list;
     std::istringstream stream(text);
@@ -85,20 +85,20 @@
     LoadSettings settings;
     Findings findings;
     const char *flag = "";
-    const auto read = [&](const char *text, double most = Many) {
-        return number(flag, text, most, findings);
+    const auto read = [&](const char *text, double maximum = MaxValue) {
+        return number(flag, text, maximum, findings);
     };
-    const auto time = [&](const char *text) {
+    const auto readMilliseconds = [&](const char *text) {
         return milliseconds(static_cast<std::int64_t>(read(text)));
     };
-    const auto count = [&](const char *text) {
+    const auto readCount = [&](const char *text) {
         return static_cast<unsigned>(read(text));
     };
-    using Take = std::function<void(const char *)>;
-    const std::array<std::pair<const char *, Take>, 19> takes = {{
+    using FlagHandler = std::function<void(const char *)>;
+    const std::array<std::pair<const char *, FlagHandler>, 19> handlers = {{
         {"targets",
          [&](const char *text) {
-             settings.targets = listOf(text);
+             settings.targets = splitList(text);
          }},
         {"keyed-service",
          [&](const char *text) {
@@ -114,19 +114,19 @@
          }},
         {"concurrency",
          [&](const char *text) {
-             settings.concurrency = count(text);
+             settings.concurrency = readCount(text);
          }},
         {"duration-ms",
          [&](const char *text) {
-             settings.duration = time(text);
+             settings.duration = readMilliseconds(text);
          }},
         {"warm-up-ms",
          [&](const char *text) {
-             settings.warmUp = time(text);
+             settings.warmUp = readMilliseconds(text);
          }},
         {"timeout-ms",
          [&](const char *text) {
-             settings.timeout = time(text);
+             settings.timeout = readMilliseconds(text);
          }},
         {"keyed-share",
          [&](const char *text) {
@@ -146,23 +146,23 @@
          }},
         {"keys",
          [&](const char *text) {
-             settings.keys = count(text);
+             settings.keys = readCount(text);
          }},
         {"key-groups",
          [&](const char *text) {
-             settings.keyGroups = count(text);
+             settings.keyGroups = readCount(text);
          }},
         {"connections",
          [&](const char *text) {
-             settings.connections = count(text);
+             settings.connections = readCount(text);
          }},
         {"ledgers",
          [&](const char *text) {
-             settings.ledgers = listOf(text);
+             settings.ledgers = splitList(text);
          }},
         {"settle-ms",
          [&](const char *text) {
-             settings.settle = time(text);
+             settings.settle = readMilliseconds(text);
          }},
         {"outcomes",
          [&](const char *text) {
@@ -173,11 +173,11 @@
              settings.seed = static_cast<std::uint64_t>(read(text));
          }},
     }};
-    std::array<option, takes.size() + 2> options{};
-    for (std::size_t i = 0; i < takes.size(); ++i) {
-        options[i] = {takes[i].first, required_argument, nullptr, static_cast<int>(i) + 1};
+    std::array<option, handlers.size() + 2> options{};
+    for (std::size_t i = 0; i < handlers.size(); ++i) {
+        options[i] = {handlers[i].first, required_argument, nullptr, static_cast<int>(i) + 1};
     }
-    options[takes.size()] = {"help", no_argument, nullptr, 'h'};
+    options[handlers.size()] = {"help", no_argument, nullptr, 'h'};
     for (int code = 0; (code = getopt_long(argc, argv, "", options.data(), nullptr)) != -1;) {
         if (code == 'h') {
             std::cout << Help;
@@ -187,9 +187,9 @@
             findings.push_back({"command line", "unknown flag or missing value", "--help"});
             continue;
         }
-        const auto &[name, take] = takes.at(static_cast<std::size_t>(code) - 1);
+        const auto &[name, handler] = handlers.at(static_cast<std::size_t>(code) - 1);
         flag = name;
-        take(optarg);
+        handler(optarg);
     }
     check(settings, findings);
     if (!findings.empty()) {
--- a/tools/load/Main.cpp
+++ b/tools/load/Main.cpp
@@ -9,29 +9,29 @@
 
 namespace {
 
-constexpr int Faulty = 1;
-constexpr int BadInput = 2;
+constexpr int FaultyExitCode = 1;
+constexpr int BadInputExitCode = 2;
 
 int fail(const Findings &findings)
 {
     std::cerr << toText(findings);
-    return BadInput;
+    return BadInputExitCode;
 }
 
 void writeOutcomes(const std::string &path, const Generator &generator)
 {
     std::ofstream file(path);
     for (const Outcome &outcome : generator.outcomes) {
-        const auto since = [&](BootTime time) {
-            return std::chrono::duration_cast<std::chrono::microseconds>(time - generator.begun).count();
+        const auto microsecondsSinceStart = [&](BootTime time) {
+            return std::chrono::duration_cast<std::chrono::microseconds>(time - generator.startedAt).count();
         };
         file << nlohmann::json{{"test_id", generator.testId(outcome)},
                                {"kind", toText(outcome.kind)},
                                {"key", outcome.key},
                                {"status", outcome.status},
                                {"verdict", toText(outcome.verdict)},
-                               {"intended_us", since(outcome.intended)},
-                               {"ended_us", since(outcome.ended)}}
+                               {"intended_us", microsecondsSinceStart(outcome.intendedAt)},
+                               {"ended_us", microsecondsSinceStart(outcome.endedAt)}}
              << '\n';
     }
 }
@@ -52,11 +52,11 @@
     generator.start();
     loop->run();
 
-    nlohmann::json report = summarise(generator.outcomes, settings, generator.begun);
+    nlohmann::json report = summarise(generator.outcomes, settings, generator.startedAt);
     if (!settings.outcomes.empty()) {
         writeOutcomes(settings.outcomes, generator);
     }
-    bool faulty = report["verdicts"].contains(toText(Verdict::Wrong));
+    bool isFaulty = report["verdicts"].contains(toText(Verdict::Wrong));
     if (!settings.ledgers.empty()) {
         std::this_thread::sleep_for(settings.settle);
         const auto executions = readLedgers(settings.ledgers);
@@ -67,8 +67,8 @@
             return generator.testId(outcome);
         });
         addLedger(report, verdict);
-        faulty = faulty || verdict.lost + verdict.doubled + verdict.untrueNo > 0;
+        isFaulty = isFaulty || verdict.lost + verdict.duplicated + verdict.falseRefusals > 0;
     }
     std::cout << report.dump(2) << '\n';
-    return faulty ? Faulty : 0;
+    return isFaulty ? FaultyExitCode : 0;
 }
--- a/tools/load/Outcome.h
+++ b/tools/load/Outcome.h
@@ -7,24 +7,26 @@
 
 namespace bergamotweir::load {
 
-/** What a caller learned of its request. */
+/** Result of a request as its caller sees it. */
 enum class Verdict {
     Pending,
-    /** A 2xx answer that echoes the request's own id. */
+    /** A 2xx answer that echoes the request's Test-Id. */
     Answered,
-    /** Refused by the system with Request-Ran: no, unknown or yes. */
+    /** Refused with Request-Ran: no. */
     RefusedNo,
+    /** Refused with Request-Ran: unknown. */
     RefusedUnknown,
+    /** Refused with Request-Ran: yes. */
     RefusedYes,
-    /** An answer of 300 and above that the upstream gave itself. */
+    /** A status of 300 or above without Request-Ran: an answer of the upstream itself. */
     Error,
-    /** No whole answer in time. */
+    /** No complete answer within the time-out. */
     TimedOut,
-    /** The connection could not be opened: the agent is gone. */
+    /** The connection to the target could not be opened. */
     NotSent,
-    /** The connection broke, or the answer was short. */
-    Broken,
-    /** A 2xx answer to some other request. */
+    /** The connection was lost, or the answer was truncated or too large. */
+    ConnectionLost,
+    /** A 2xx answer that does not echo the request's Test-Id. */
     Wrong,
 };
 
@@ -45,14 +47,14 @@
     std::uint64_t number = 0;
     Kind kind = Kind::UnkeyedGet;
     unsigned key = 0;
-    bool withIdempotencyKey = false;
-    bool resent = false;
-    BootTime intended;
-    BootTime ended;
+    bool hasIdempotencyKey = false;
+    bool isResent = false;
+    BootTime intendedAt;
+    BootTime endedAt;
     int status = 0;
     Verdict verdict = Verdict::Pending;
-    /** Of the second send, when resent. */
-    Verdict second = Verdict::Pending;
+    /** Result of the second send of a resent request. */
+    Verdict secondVerdict = Verdict::Pending;
 };
 
 } // namespace bergamotweir::load
--- a/tools/load/Report.cpp
+++ b/tools/load/Report.cpp
@@ -45,48 +45,48 @@
     ++sums.sent;
     ++sums.verdicts[toText(outcome.verdict)];
     if (outcome.verdict == Verdict::Answered) {
-        sums.latencies.push_back(duration_cast<microseconds>(outcome.ended - outcome.intended).count());
+        sums.latencies.push_back(duration_cast<microseconds>(outcome.endedAt - outcome.intendedAt).count());
     }
 }
 
-/** Unavailable time of one key group: from one answer to the next, counted only where something was asked between. */
+/** Unavailability of one key group: the time between two answers, counted only when a request between them failed. */
 struct Gap {
-    BootTime lastAnswer;
+    BootTime lastAnswerAt;
     milliseconds longest{0};
-    bool failedSince = false;
+    bool hasFailedSince = false;
 };
 
-json longestGaps(const std::deque<Outcome> &outcomes, const LoadSettings &settings, BootTime begun)
+json longestGaps(const std::deque<Outcome> &outcomes, const LoadSettings &settings, BootTime startedAt)
 {
-    std::vector<const Outcome *> byEnd;
+    std::vector<const Outcome *> orderedByEnd;
     for (const Outcome &outcome : outcomes) {
         if (outcome.kind != Kind::UnkeyedGet && outcome.verdict != Verdict::Pending) {
-            byEnd.push_back(&outcome);
+            orderedByEnd.push_back(&outcome);
         }
     }
-    std::sort(byEnd.begin(), byEnd.end(), [](const Outcome *left, const Outcome *right) {
-        return left->ended < right->ended;
+    std::sort(orderedByEnd.begin(), orderedByEnd.end(), [](const Outcome *left, const Outcome *right) {
+        return left->endedAt < right->endedAt;
     });
-    std::vector<Gap> gaps(settings.keyGroups, Gap{.lastAnswer = begun});
-    for (const Outcome *outcome : byEnd) {
+    std::vector<Gap> gaps(settings.keyGroups, Gap{.lastAnswerAt = startedAt});
+    for (const Outcome *outcome : orderedByEnd) {
         Gap &gap = gaps[outcome->key % settings.keyGroups];
         if (outcome->verdict != Verdict::Answered) {
-            gap.failedSince = true;
+            gap.hasFailedSince = true;
             continue;
         }
-        if (gap.failedSince) {
-            gap.longest = std::max(gap.longest, duration_cast<milliseconds>(outcome->ended - gap.lastAnswer));
+        if (gap.hasFailedSince) {
+            gap.longest = std::max(gap.longest, duration_cast<milliseconds>(outcome->endedAt - gap.lastAnswerAt));
         }
-        gap.failedSince = false;
-        gap.lastAnswer = outcome->ended;
+        gap.hasFailedSince = false;
+        gap.lastAnswerAt = outcome->endedAt;
     }
     milliseconds longest{0};
     unsigned interrupted = 0;
     unsigned unanswered = 0;
     for (const Gap &gap : gaps) {
         longest = std::max(longest, gap.longest);
-        interrupted += gap.longest.count() > 0 || gap.failedSince ? 1 : 0;
-        unanswered += gap.failedSince ? 1 : 0;
+        interrupted += gap.longest.count() > 0 || gap.hasFailedSince ? 1 : 0;
+        unanswered += gap.hasFailedSince ? 1 : 0;
     }
     return {{"longest_ms", longest.count()},
             {"groups", settings.keyGroups},
@@ -96,22 +96,22 @@
 
 } // namespace
 
-json summarise(const std::deque<Outcome> &outcomes, const LoadSettings &settings, BootTime begun)
+json summarise(const std::deque<Outcome> &outcomes, const LoadSettings &settings, BootTime startedAt)
 {
     Sums all;
     std::map<std::string, Sums> kinds;
     std::map<std::string, std::uint64_t> statuses;
-    std::map<std::string, std::uint64_t> second;
-    const BootTime from = begun + settings.warmUp;
+    std::map<std::string, std::uint64_t> secondVerdicts;
+    const BootTime measuredFrom = startedAt + settings.warmUp;
     for (const Outcome &outcome : outcomes) {
-        if (outcome.intended < from) {
+        if (outcome.intendedAt < measuredFrom) {
             continue;
         }
         add(all, outcome);
         add(kinds[toText(outcome.kind)], outcome);
         ++statuses[std::to_string(outcome.status)];
-        if (outcome.resent) {
-            ++second[toText(outcome.second)];
+        if (outcome.isResent) {
+            ++secondVerdicts[toText(outcome.secondVerdict)];
         }
     }
     json report = toJson(all);
@@ -121,9 +121,9 @@
     const double seconds = std::chrono::duration<double>(settings.duration - settings.warmUp).count();
     report["sent_whole"] = outcomes.size();
     report["statuses"] = statuses;
-    report["second_sends"] = second;
+    report["second_sends"] = secondVerdicts;
     report["answered_per_second"] = static_cast<double>(all.latencies.size()) / seconds;
-    report["unavailable"] = longestGaps(outcomes, settings, begun);
+    report["unavailable"] = longestGaps(outcomes, settings, startedAt);
     return report;
 }
 
@@ -131,8 +131,8 @@
 {
     report["ledger"] = {{"executions", verdict.executions},
                         {"lost", verdict.lost},
-                        {"doubled", verdict.doubled},
-                        {"untrue_no", verdict.untrueNo},
+                        {"doubled", verdict.duplicated},
+                        {"untrue_no", verdict.falseRefusals},
                         {"examples", verdict.examples}};
 }
 
--- a/tools/load/Report.h
+++ b/tools/load/Report.h
@@ -10,15 +10,16 @@
 namespace bergamotweir::load {
 
 /**
- * Sums a load up.
+ * Summarises the outcomes of a load.
  * @param outcomes of the whole load
- * @param settings of the load; its warm-up is left out of all but the ledger's figures
- * @param begun when the load began
+ * @param settings of the load; requests of its warm-up count only in sent_whole, the unavailable times
+ *        and the ledger's figures
+ * @param startedAt when the load started
  * @return counts by verdict and kind, latencies in microseconds, longest times without an answer in milliseconds
  */
-nlohmann::json summarise(const std::deque<Outcome> &outcomes, const LoadSettings &settings, BootTime begun);
+nlohmann::json summarise(const std::deque<Outcome> &outcomes, const LoadSettings &settings, BootTime startedAt);
 
-/** Adds what the ledgers say. */
+/** Adds the result of the ledger check to the report. */
 void addLedger(nlohmann::json &report, const LedgerVerdict &verdict);
 
 } // namespace bergamotweir::load
--- a/tools/sessions/Main.cpp
+++ b/tools/sessions/Main.cpp
@@ -1,4 +1,4 @@
-// Opens many agents' control sessions from one process and measures what they cost; for measurements only.
+// Opens the control sessions of many agents from one process and measures their cost. For measurements only.
 
 #include "agent/Lease.h"
 #include "agent/RouteMap.h"
@@ -34,10 +34,10 @@
     std::uint64_t renewals = 0;
     std::uint64_t updates = 0;
     std::uint64_t updateBytes = 0;
-    std::vector<double> renewalMillis;
+    std::vector<double> renewalMilliseconds;
 };
 
-/** One agent's session: announces an upstream, renews its lease and keeps its map as an agent does. */
+/** The control session of one agent: announces an upstream, renews the lease and maintains the route map. */
 class Agent
 {
 public:
@@ -60,7 +60,8 @@
             agent::endSession(this->lease);
         };
         rpc::ControlSessionTimeouts timeouts;
-        // One process for hundreds of sessions is slower than an agent: silence here says nothing of the leader.
+        // One process with hundreds of sessions is slower than an agent, so a late answer is no sign of a failed
+        // leader.
         timeouts.silenceTimeout = std::chrono::seconds(5);
         this->session = std::make_unique<rpc::ControlSession>(loop, settings.controls, std::move(events), timeouts);
     }
@@ -137,7 +138,7 @@
                 ++this->counts.renewals;
             }
             if (message.renewed().sequence() == this->sequence) {
-                this->counts.renewalMillis.push_back(
+                this->counts.renewalMilliseconds.push_back(
                     std::chrono::duration<double, std::milli>(BootClock::now() - this->sentAt).count());
             }
         } else if (message.has_update()) {
@@ -164,16 +165,16 @@
     std::unique_ptr<rpc::ControlSession> session;
 };
 
-/** Bytes of TCP payload sent and received over all sockets of this process. */
+/** @return bytes of TCP payload sent and received by all sockets of this process */
 std::uint64_t tcpBytes()
 {
-    constexpr int MostDescriptors = 8192;
+    constexpr int MaxDescriptors = 8192;
     std::uint64_t bytes = 0;
-    for (int descriptor = 3; descriptor < MostDescriptors; ++descriptor) {
+    for (int descriptor = 3; descriptor < MaxDescriptors; ++descriptor) {
         tcp_info info{};
         socklen_t length = sizeof info;
         if (getsockopt(descriptor, IPPROTO_TCP, TCP_INFO, &info, &length) == 0) {
-            // The C library's struct ends before these two; the kernel's order is fixed.
+            // The C library's tcp_info ends before bytes_acked and bytes_received; their offset in the kernel is fixed.
             std::uint64_t counters[2] = {0, 0};
             unsigned char raw[256] = {};
             length = sizeof raw;
@@ -257,37 +258,37 @@
     std::vector<std::unique_ptr<Agent>> agents;
     for (unsigned number = 0; number < settings.agents; ++number) {
         agents.push_back(std::make_unique<Agent>(*loop, settings, number, counts));
-        // Spread over the interval, as agents that started at different times are.
+        // Spreads the renewals over the interval, like those of agents that started at different times.
         loop->after(RenewInterval * number / settings.agents, [&loop, agent = agents.back().get()] {
             loop->every(RenewInterval, [agent] {
                 agent->renew();
             });
         });
     }
-    Counts warm;
-    std::uint64_t warmBytes = 0;
+    Counts warmUpCounts;
+    std::uint64_t warmUpBytes = 0;
     loop->after(settings.warmUp, [&] {
-        warm = std::exchange(counts, Counts{});
-        warmBytes = tcpBytes();
+        warmUpCounts = std::exchange(counts, Counts{});
+        warmUpBytes = tcpBytes();
     });
     loop->after(settings.warmUp + settings.duration, [&] {
         loop->stop();
     });
     loop->run();
     const double seconds = std::chrono::duration<double>(settings.duration).count();
-    const auto bytes = static_cast<double>(tcpBytes() - warmBytes);
+    const auto bytes = static_cast<double>(tcpBytes() - warmUpBytes);
     nlohmann::json report;
     report["agents"] = settings.agents;
     report["holding_lease"] = std::count_if(agents.begin(), agents.end(), [](const auto &agent) {
         return agent->holdsLease();
     });
     report["renewals_per_second"] = static_cast<double>(counts.renewals) / seconds;
-    report["renewal_ms"] = {{"p50", quantile(counts.renewalMillis, 0.5)},
-                            {"p99", quantile(counts.renewalMillis, 0.99)}};
+    report["renewal_ms"] = {{"p50", quantile(counts.renewalMilliseconds, 0.5)},
+                            {"p99", quantile(counts.renewalMilliseconds, 0.99)}};
     report["tcp_bytes_per_agent_second"] = bytes / settings.agents / seconds;
     report["updates"] = counts.updates;
     report["update_bytes_per_agent_second"] = static_cast<double>(counts.updateBytes) / settings.agents / seconds;
-    report["warm_up_update_bytes_per_agent"] = static_cast<double>(warm.updateBytes) / settings.agents;
+    report["warm_up_update_bytes_per_agent"] = static_cast<double>(warmUpCounts.updateBytes) / settings.agents;
     report["map_bytes"] = agents.front()->mapBytes();
     std::cout << report.dump() << '\n';
     return 0;
--- a/tools/upstream/Grants.h
+++ b/tools/upstream/Grants.h
@@ -9,27 +9,27 @@
 
 namespace bergamotweir::upstream {
 
-/** A range of the key hash space: begin included, end excluded; an end of 0 is the end of the space. */
+/** A range of the key hash space: begin is included, end is excluded; an end of 0 means the end of the space. */
 struct Range {
     std::uint64_t begin = 0;
     std::uint64_t end = 0;
 };
 
-/** The fenced grants of a stand-in upstream: which ranges it may serve, under which epoch, until when. */
+/** The fenced grants of a stand-in upstream: the ranges that it may serve, each with its epoch and expiry. */
 class Grants
 {
 public:
-    /** Takes a grant. @return false when any part of it is already held under a newer epoch; nothing is then taken */
+    /** Applies a grant. @return false, with nothing changed, when any part of it is known under a newer epoch */
     bool grant(const std::vector<Range> &ranges, std::uint64_t epoch, BootTime until);
 
-    /** Gives ranges up; what is held under a newer epoch stays. */
+    /** Revokes ranges; a range that overlaps a newer epoch is left as it is. */
     void revoke(const std::vector<Range> &ranges, std::uint64_t epoch);
 
-    /** @return true when the hash lies in a range held at @p now under exactly @p epoch */
+    /** @return true when the hash is in a range granted at @p now under exactly @p epoch */
     bool covers(std::uint64_t hash, std::uint64_t epoch, BootTime now) const;
 
 private:
-    struct Held {
+    struct Entry {
         /** Last hash of the range, included. */
         std::uint64_t last = 0;
         std::uint64_t epoch = 0;
@@ -38,10 +38,10 @@
     };
 
     std::uint64_t newestEpochIn(std::uint64_t begin, std::uint64_t last) const;
-    void cut(std::uint64_t begin, std::uint64_t last);
-    void put(const Range &range, const Held &held);
+    void clearRange(std::uint64_t begin, std::uint64_t last);
+    void replaceRange(const Range &range, const Entry &entry);
 
-    std::map<std::uint64_t, Held> byBegin;
+    std::map<std::uint64_t, Entry> entriesByBegin;
 };
 
 } // namespace bergamotweir::upstream
--- a/tools/upstream/Ledger.cpp
+++ b/tools/upstream/Ledger.cpp
@@ -11,13 +11,13 @@
 
 namespace {
 
-std::int64_t unixMicros()
+std::int64_t unixMicroseconds()
 {
     const auto now = std::chrono::system_clock::now().time_since_epoch();
     return std::chrono::duration_cast<std::chrono::microseconds>(now).count();
 }
 
-std::string valueOf(const net::HttpRequest &request, const char *name)
+std::string headerOrEmpty(const net::HttpRequest &request, const char *name)
 {
     const std::string *value = net::findHeader(request.headers, name);
     return value == nullptr ? std::string() : *value;
@@ -29,8 +29,8 @@
 {
     int file = -1;
     if (!path.empty()) {
-        constexpr int Mode = 0644;
-        file = ::open(path.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, Mode);
+        constexpr int FileMode = 0644;
+        file = ::open(path.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, FileMode);
         if (file < 0) {
             return oneFinding("--ledger", "'" + path + "' cannot be opened");
         }
@@ -51,7 +51,7 @@
     }
 }
 
-std::uint64_t Ledger::started(const net::HttpRequest &request)
+std::uint64_t Ledger::recordStart(const net::HttpRequest &request)
 {
     const std::uint64_t run = ++this->lastRun;
     if (this->file < 0) {
@@ -59,30 +59,30 @@
     }
     this->write(nlohmann::json{{"run", run},
                                {"upstream", this->upstream},
-                               {"request", valueOf(request, "Request-Id")},
-                               {"test_id", valueOf(request, "Test-Id")},
-                               {"key", valueOf(request, "Routing-Key")},
-                               {"epoch", valueOf(request, "Grant-Epoch")},
-                               {"idempotency_key", valueOf(request, "Idempotency-Key")},
+                               {"request", headerOrEmpty(request, "Request-Id")},
+                               {"test_id", headerOrEmpty(request, "Test-Id")},
+                               {"key", headerOrEmpty(request, "Routing-Key")},
+                               {"epoch", headerOrEmpty(request, "Grant-Epoch")},
+                               {"idempotency_key", headerOrEmpty(request, "Idempotency-Key")},
                                {"method", request.method},
                                {"path", request.target},
-                               {"at_us", unixMicros()}}
+                               {"at_us", unixMicroseconds()}}
                     .dump(-1, ' ', true, nlohmann::json::error_handler_t::replace));
     return run;
 }
 
-void Ledger::ended(std::uint64_t run, const char *how)
+void Ledger::recordEnd(std::uint64_t run, const char *outcome)
 {
     if (this->file >= 0) {
-        this->write(nlohmann::json{{"ended", run}, {"how", how}, {"at_us", unixMicros()}}.dump());
+        this->write(nlohmann::json{{"ended", run}, {"how", outcome}, {"at_us", unixMicroseconds()}}.dump());
     }
 }
 
 void Ledger::write(const std::string &line) const
 {
-    const std::string whole = line + "\n";
-    if (::write(this->file, whole.data(), whole.size()) != static_cast<ssize_t>(whole.size())) {
-        // A stand-in that can't keep its ledger must not go on as a witness.
+    const std::string text = line + "\n";
+    if (::write(this->file, text.data(), text.size()) != static_cast<ssize_t>(text.size())) {
+        // Executions that are missing from the ledger would make the ledger check wrong, so the process exits.
         _exit(1);
     }
 }
--- a/tools/upstream/Ledger.h
+++ b/tools/upstream/Ledger.h
@@ -10,23 +10,26 @@
 namespace bergamotweir::upstream {
 
 /**
- * The file that tells what really ran: one line per execution, written when it starts, and one when it ends.
- * Each line is one write() to the kernel, so it survives the death of the process, though not of the VM.
+ * Appends executions to a file: one line when an execution starts and one when it ends.
+ * Each line is one write() to the kernel, so it survives a crash of the process, but not of the VM.
  */
 class Ledger
 {
 public:
-    /** @param path appended to; empty for a ledger that keeps nothing */
+    /** @param path of the file to append to; empty for a ledger that writes nothing */
     static Result<std::unique_ptr<Ledger>> open(const std::string &path, const std::string &upstream);
     ~Ledger();
     Ledger(const Ledger &) = delete;
     Ledger &operator=(const Ledger &) = delete;
 
-    /** @return the execution's number */
-    std::uint64_t started(const net::HttpRequest &request);
+    /** Records the start of an execution. @return the number of the execution */
+    std::uint64_t recordStart(const net::HttpRequest &request);
 
-    /** @param how done, cancelled or deadline; the line holds the number alone, so that ids occur once per run */
-    void ended(std::uint64_t run, const char *how);
+    /**
+     * Records the end of an execution. The line has the number but not the ids, so that ids occur once per execution.
+     * @param outcome done, cancelled or deadline
+     */
+    void recordEnd(std::uint64_t run, const char *outcome);
 
 private:
     Ledger(int file, std::string upstream);
--- a/tools/upstream/Load.h
+++ b/tools/upstream/Load.h
@@ -7,7 +7,7 @@
 
 namespace bergamotweir::upstream {
 
-/** What GET /load says: the share of slots in use, as it was a while ago, or a lie. */
+/** The load reported by GET /load: the share of slots in use, delayed by the lag, or a fixed false value. */
 struct Load {
     struct Sample {
         BootTime at;
@@ -16,11 +16,11 @@
 
     std::deque<Sample> samples;
     std::chrono::milliseconds lag{0};
-    std::optional<double> lie;
+    std::optional<double> falseLoad;
 };
 
-/** Notes the present load; keeps no more than the lag needs. */
-inline void note(Load &load, double value, BootTime now)
+/** Records the current load and removes samples that the lag no longer needs. */
+inline void recordSample(Load &load, double value, BootTime now)
 {
     load.samples.push_back({now, value});
     while (load.samples.size() > 1 && load.samples[1].at + load.lag <= now) {
@@ -28,11 +28,11 @@
     }
 }
 
-/** @return the load to be reported at @p now */
-inline double reported(const Load &load, BootTime now)
+/** @return the load to report at @p now */
+inline double reportedLoad(const Load &load, BootTime now)
 {
-    if (load.lie) {
-        return *load.lie;
+    if (load.falseLoad) {
+        return *load.falseLoad;
     }
     double value = 0;
     for (const Load::Sample &sample : load.samples) {
--- a/tools/upstream/Main.cpp
+++ b/tools/upstream/Main.cpp
@@ -16,14 +16,14 @@
 namespace {
 
 constexpr std::chrono::milliseconds AnnounceInterval{1000};
-constexpr std::chrono::milliseconds AnnounceRetry{20};
+constexpr std::chrono::milliseconds AnnounceBackoff{20};
 constexpr std::chrono::milliseconds AnnounceTimeout{500};
-constexpr std::chrono::milliseconds StopCheck{5};
-/** For the agent's orders and probes, besides the connections announced. */
+constexpr std::chrono::milliseconds StopCheckInterval{5};
+/** Connections for the agent's orders and probes, in addition to those announced. */
 constexpr unsigned SpareConnections = 16;
-constexpr int BadInput = 2;
+constexpr int BadInputExitCode = 2;
 
-/** Says each second that the upstream is there. */
+/** Announces the upstream to its agent every second; retries sooner when the agent does not answer. */
 class Announcer
 {
 public:
@@ -51,17 +51,17 @@
     void stop()
     {
         this->loop.cancel(this->timer);
-        this->stopped = true;
+        this->isStopped = true;
     }
 
     void announce()
     {
         this->client.send(this->call, [this](const net::CallResult &result) {
-            if (this->stopped) {
+            if (this->isStopped) {
                 return;
             }
-            const bool heard = result.outcome == net::CallOutcome::Answered;
-            this->timer = this->loop.after(heard ? AnnounceInterval : AnnounceRetry, [this] {
+            const bool isAnswered = result.outcome == net::CallOutcome::Answered;
+            this->timer = this->loop.after(isAnswered ? AnnounceInterval : AnnounceBackoff, [this] {
                 this->announce();
             });
         });
@@ -72,24 +72,24 @@
     net::HttpClient client;
     net::HttpCall call;
     loop::TimerId timer = 0;
-    bool stopped = false;
+    bool isStopped = false;
 };
 
 int fail(const Findings &findings)
 {
     std::cerr << toText(findings);
-    return BadInput;
+    return BadInputExitCode;
 }
 
-/** Written whole under another name first, so that a reader never sees half a number. */
+/** Writes the file under another name and renames it, so that a reader never sees a partial number. */
 void writePortFile(const std::string &path, std::uint16_t port)
 {
     if (path.empty()) {
         return;
     }
-    const std::string draft = path + ".new";
-    std::ofstream(draft) << port << '\n';
-    std::filesystem::rename(draft, path);
+    const std::string temporaryPath = path + ".new";
+    std::ofstream(temporaryPath) << port << '\n';
+    std::filesystem::rename(temporaryPath, path);
 }
 
 } // namespace
@@ -107,19 +107,19 @@
     }
     const std::unique_ptr<loop::EventLoop> loop = loop::EventLoop::create().value();
     StandIn standIn(*loop, settings, std::move(ledger.value()));
-    const net::HttpServerSettings bounds = net::HttpServerSettingsBuilder()
-                                               .port(settings.port)
-                                               .maxConnections(settings.connections + SpareConnections)
-                                               .build()
-                                               .value();
-    Result<std::unique_ptr<net::HttpServer>> listening =
-        net::HttpServer::listen(*loop, bounds, [&](const std::shared_ptr<net::Exchange> &exchange) {
+    const net::HttpServerSettings serverSettings = net::HttpServerSettingsBuilder()
+                                                       .port(settings.port)
+                                                       .maxConnections(settings.connections + SpareConnections)
+                                                       .build()
+                                                       .value();
+    Result<std::unique_ptr<net::HttpServer>> listenResult =
+        net::HttpServer::listen(*loop, serverSettings, [&](const std::shared_ptr<net::Exchange> &exchange) {
             standIn.onRequest(exchange);
         });
-    if (!listening) {
-        return fail(listening.error());
+    if (!listenResult) {
+        return fail(listenResult.error());
     }
-    net::HttpServer &server = *listening.value();
+    net::HttpServer &server = *listenResult.value();
     writePortFile(settings.portFile, server.port());
     Announcer announcer(*loop, settings, server.port());
     if (!settings.agent.empty()) {
@@ -128,7 +128,7 @@
     loop->onSignal(SIGTERM, [&] {
         announcer.stop();
         standIn.drain();
-        loop->every(StopCheck, [&] {
+        loop->every(StopCheckInterval, [&] {
             if (standIn.running() == 0 && server.inProgress() == 0) {
                 loop->stop();
             }
--- a/tools/upstream/StandIn.cpp
+++ b/tools/upstream/StandIn.cpp
@@ -19,9 +19,9 @@
 using std::chrono::milliseconds;
 
 constexpr int CrashExitCode = 70;
-/** Ids of cancelled requests kept, for requests that come after their cancellation. */
+/** Maximum number of cancelled ids kept, for requests that arrive after their cancellation. */
 constexpr std::size_t MaxCancelled = 10000;
-/** Peers kept to tell new connections. */
+/** Maximum number of peer addresses kept to recognise new connections. */
 constexpr std::size_t MaxPeers = 20000;
 
 net::HttpAnswer jsonAnswer(const json &body)
@@ -29,21 +29,24 @@
     return {.status = 200, .headers = {{"Content-Type", "application/json"}}, .body = body.dump()};
 }
 
-std::uint64_t numberIn(const std::string &text)
+std::uint64_t parseNumber(const std::string &text)
 {
     std::uint64_t value = 0;
     std::from_chars(text.data(), text.data() + text.size(), value);
     return value;
 }
 
-/** Hashes are text, because JSON numbers hold 53 bits only; epochs and times may be either. */
-std::uint64_t numberOf(const json &object, const char *name)
+/**
+ * Reads a number that is text or a JSON number: hashes are text, because JSON numbers have only 53 exact bits; epochs
+ * and times may be either.
+ */
+std::uint64_t memberNumber(const json &object, const char *name)
 {
     const auto found = object.find(name);
     if (found == object.end()) {
         return 0;
     }
-    return found->is_string()            ? numberIn(found->get<std::string>())
+    return found->is_string()            ? parseNumber(found->get<std::string>())
            : found->is_number_unsigned() ? found->get<std::uint64_t>()
                                          : 0;
 }
@@ -51,7 +54,7 @@
 std::uint64_t headerNumber(const net::HttpRequest &request, const char *name)
 {
     const std::string *text = net::findHeader(request.headers, name);
-    return text == nullptr ? 0 : numberIn(*text);
+    return text == nullptr ? 0 : parseNumber(*text);
 }
 
 std::vector<Range> rangesOf(const json &order)
@@ -60,7 +63,7 @@
     const auto slices = order.find("slices");
     if (slices != order.end() && slices->is_array()) {
         for (const json &slice : *slices) {
-            ranges.push_back({numberOf(slice, "begin"), numberOf(slice, "end")});
+            ranges.push_back({memberNumber(slice, "begin"), memberNumber(slice, "end")});
         }
     }
     return ranges;
@@ -99,11 +102,11 @@
         this->onTest(*exchange);
     } else if (target == "/drain") {
         this->drain();
-        exchange->answer(jsonAnswer({{"running", this->work.size()}}));
+        exchange->answer(jsonAnswer({{"running", this->executions.size()}}));
     } else if (target == "/health") {
         exchange->answer(jsonAnswer({{"status", "ok"}}));
     } else if (target == "/load") {
-        exchange->answer(jsonAnswer({{"load", reported(this->load, BootClock::now())}}));
+        exchange->answer(jsonAnswer({{"load", reportedLoad(this->load, BootClock::now())}}));
     } else {
         exchange->answer(net::problem(404, "Not found", "No such endpoint.", net::RequestRan::No));
     }
@@ -116,12 +119,12 @@
         exchange.answer(net::problem(400, "Bad order", "Not a JSON object.", net::RequestRan::No));
         return;
     }
-    const BootTime until = BootClock::now() + milliseconds(numberOf(order, "expires_ms"));
-    if (!this->grants.grant(rangesOf(order), numberOf(order, "epoch"), until)) {
+    const BootTime until = BootClock::now() + milliseconds(memberNumber(order, "expires_ms"));
+    if (!this->grants.grant(rangesOf(order), memberNumber(order, "epoch"), until)) {
         exchange.answer(net::problem(409, "Older epoch", "A newer epoch is held.", net::RequestRan::No));
         return;
     }
-    this->draining = false;
+    this->isDraining = false;
     exchange.answer(jsonAnswer(json::object()));
 }
 
@@ -129,35 +132,35 @@
 {
     const json order = json::parse(exchange.request().body, nullptr, false);
     if (order.is_object()) {
-        this->grants.revoke(rangesOf(order), numberOf(order, "epoch"));
+        this->grants.revoke(rangesOf(order), memberNumber(order, "epoch"));
     }
-    exchange.answer(jsonAnswer({{"running", this->work.size()}}));
+    exchange.answer(jsonAnswer({{"running", this->executions.size()}}));
 }
 
 void StandIn::onCancel(net::Exchange &exchange)
 {
     const json order = json::parse(exchange.request().body, nullptr, false);
     const std::string id = order.is_object() ? order.value("request", std::string()) : std::string();
-    // A request may be read after its cancellation, when both were sent on different connections.
+    // A request that was sent on another connection may be read after its cancellation.
     if (this->cancelled.insert(id).second) {
-        this->cancelledOrder.push_back(id);
+        this->cancelledOldestFirst.push_back(id);
     }
-    if (this->cancelledOrder.size() > MaxCancelled) {
-        this->cancelled.erase(this->cancelledOrder.front());
-        this->cancelledOrder.pop_front();
+    if (this->cancelledOldestFirst.size() > MaxCancelled) {
+        this->cancelled.erase(this->cancelledOldestFirst.front());
+        this->cancelledOldestFirst.pop_front();
     }
     const auto found = this->runOfRequest.find(id);
-    const bool running = found != this->runOfRequest.end();
-    if (running) {
-        const auto stopped = this->work.extract(found->second);
+    const bool isRunning = found != this->runOfRequest.end();
+    if (isRunning) {
+        const auto stopped = this->executions.extract(found->second);
         this->runOfRequest.erase(found);
         this->loop.cancel(stopped.mapped().timer);
-        this->ledger->ended(stopped.key(), "cancelled");
-        this->noteLoad();
+        this->ledger->recordEnd(stopped.key(), "cancelled");
+        this->recordLoad();
         stopped.mapped().exchange->answer(
             net::problem(503, "Cancelled", "The request was cancelled while it ran.", net::RequestRan::Unknown));
     }
-    exchange.answer(jsonAnswer({{"cancelled", running}}));
+    exchange.answer(jsonAnswer({{"cancelled", isRunning}}));
 }
 
 void StandIn::onTest(net::Exchange &exchange)
@@ -173,13 +176,13 @@
         this->slowUntil = order.contains("slow_ms") ? now + milliseconds(order.value("slow_ms", 0)) : BootTime::max();
     }
     if (order.contains("lie_load")) {
-        const json &lie = order["lie_load"];
-        this->load.lie = lie.is_number() ? std::optional<double>(lie.get<double>()) : std::nullopt;
+        const json &value = order["lie_load"];
+        this->load.falseLoad = value.is_number() ? std::optional<double>(value.get<double>()) : std::nullopt;
     }
     this->load.lag = milliseconds(order.value("load_lag_ms", this->load.lag.count()));
     if (order.contains("cold_ms")) {
         this->coldUntil = now + milliseconds(order.value("cold_ms", 0));
-        this->strain = 0;
+        this->coldExcess = 0;
     }
     if (order.value("crash", false)) {
         _exit(CrashExitCode);
@@ -193,7 +196,7 @@
     }
 }
 
-/** @return why the request is refused, or nullptr */
+/** @return the reason for refusing the request, with @p status set, or nullptr when it can run */
 const char *StandIn::refusal(const net::HttpRequest &request, int &status) const
 {
     const std::string *id = net::findHeader(request.headers, "Request-Id");
@@ -201,7 +204,7 @@
         status = 409;
         return "The request was cancelled before it came.";
     }
-    if (this->draining) {
+    if (this->isDraining) {
         status = 503;
         return "The upstream is draining.";
     }
@@ -211,7 +214,7 @@
         status = 409;
         return "The key is not granted under this epoch.";
     }
-    if (!this->isCold() && this->work.size() >= this->settings.slots) {
+    if (!this->isCold() && this->executions.size() >= this->settings.slots) {
         status = 503;
         return "All slots are taken.";
     }
@@ -222,29 +225,29 @@
 {
     const net::HttpRequest &request = exchange->request();
     int status = 0;
-    if (const char *why = this->refusal(request, status)) {
-        exchange->answer(net::problem(status, "Refused", why, net::RequestRan::No));
+    if (const char *reason = this->refusal(request, status)) {
+        exchange->answer(net::problem(status, "Refused", reason, net::RequestRan::No));
         return;
     }
-    const std::uint64_t run = this->ledger->started(request);
+    const std::uint64_t run = this->ledger->recordStart(request);
     if (net::findHeader(request.headers, "Test-Crash") != nullptr) {
         _exit(CrashExitCode);
     }
-    if (this->isCold() && this->work.size() >= this->settings.coldSlots) {
-        ++this->strain;
-        if (this->settings.coldStrain != 0 && this->strain > this->settings.coldStrain) {
+    if (this->isCold() && this->executions.size() >= this->settings.coldSlots) {
+        ++this->coldExcess;
+        if (this->settings.maxColdExcess != 0 && this->coldExcess > this->settings.maxColdExcess) {
             _exit(CrashExitCode);
         }
     }
     std::chrono::nanoseconds time = this->serviceTime(request);
     if (time.count() == 0) {
-        this->ledger->ended(run, "done");
+        this->ledger->recordEnd(run, "done");
         exchange->answer(this->answerFor(request, run));
         return;
     }
     const std::uint64_t timeout = headerNumber(request, "Request-Timeout");
-    const bool late = timeout != 0 && milliseconds(timeout) < time;
-    if (late) {
+    const bool exceedsDeadline = timeout != 0 && milliseconds(timeout) < time;
+    if (exceedsDeadline) {
         time = milliseconds(timeout);
     }
     if (const std::string *id = net::findHeader(request.headers, "Request-Id")) {
@@ -253,8 +256,8 @@
     const loop::TimerId timer = this->loop.after(time, [this, run] {
         this->finish(run);
     });
-    this->work[run] = {exchange, run, timer, late};
-    this->noteLoad();
+    this->executions[run] = {exchange, run, timer, exceedsDeadline};
+    this->recordLoad();
 }
 
 std::chrono::nanoseconds StandIn::serviceTime(const net::HttpRequest &request)
@@ -266,7 +269,8 @@
         time *= this->slowFactor;
     }
     if (this->isCold()) {
-        time *= std::max(1.0, static_cast<double>(this->work.size() + 1) / std::max(1U, this->settings.coldSlots));
+        time *=
+            std::max(1.0, static_cast<double>(this->executions.size() + 1) / std::max(1U, this->settings.coldSlots));
     }
     if (this->peers.size() > MaxPeers) {
         this->peers.clear();
@@ -279,8 +283,8 @@
 
 void StandIn::finish(std::uint64_t run)
 {
-    const auto ended = this->work.extract(run);
-    const Work &done = ended.mapped();
+    const auto extracted = this->executions.extract(run);
+    const Execution &done = extracted.mapped();
     const net::HttpRequest &request = done.exchange->request();
     if (const std::string *id = net::findHeader(request.headers, "Request-Id")) {
         const auto found = this->runOfRequest.find(*id);
@@ -288,11 +292,11 @@
             this->runOfRequest.erase(found);
         }
     }
-    this->ledger->ended(run, done.late ? "deadline" : "done");
-    this->noteLoad();
-    done.exchange->answer(
-        done.late ? net::problem(504, "Deadline passed", "Stopped at its deadline.", net::RequestRan::Unknown)
-                  : this->answerFor(request, run));
+    this->ledger->recordEnd(run, done.exceedsDeadline ? "deadline" : "done");
+    this->recordLoad();
+    done.exchange->answer(done.exceedsDeadline ? net::problem(
+                              504, "Deadline passed", "Stopped at its deadline.", net::RequestRan::Unknown)
+                                               : this->answerFor(request, run));
 }
 
 net::HttpAnswer StandIn::answerFor(const net::HttpRequest &request, std::uint64_t run) const
@@ -313,12 +317,12 @@
 
 void StandIn::drain()
 {
-    this->draining = true;
+    this->isDraining = true;
 }
 
 std::size_t StandIn::running() const
 {
-    return this->work.size();
+    return this->executions.size();
 }
 
 bool StandIn::isCold() const
@@ -326,9 +330,11 @@
     return BootClock::now() < this->coldUntil;
 }
 
-void StandIn::noteLoad()
+void StandIn::recordLoad()
 {
-    note(this->load, static_cast<double>(this->work.size()) / std::max(1U, this->settings.slots), BootClock::now());
+    recordSample(this->load,
+                 static_cast<double>(this->executions.size()) / std::max(1U, this->settings.slots),
+                 BootClock::now());
 }
 
 } // namespace bergamotweir::upstream
--- a/tools/upstream/StandIn.h
+++ b/tools/upstream/StandIn.h
@@ -17,31 +17,31 @@
 namespace bergamotweir::upstream {
 
 /**
- * The stand-in upstream: executes requests in slots of simulated time, and obeys and disobeys its agent as its
- * settings and POST /test say. Owned by main.
+ * The stand-in upstream: executes requests in slots for a simulated service time. Its settings and POST /test choose
+ * whether it follows its agent's orders and which faults it shows. Owned by main.
  */
 class StandIn
 {
 public:
     StandIn(loop::EventLoop &loop, UpstreamSettings settings, std::unique_ptr<Ledger> ledger);
 
-    /** Handles each request to the upstream's port. */
+    /** Handles a request to the upstream's port. */
     void onRequest(const std::shared_ptr<net::Exchange> &exchange);
 
-    /** Refuses new work from now on. */
+    /** Refuses new requests until the next accepted grant. */
     void drain();
 
-    /** @return executions under way */
+    /** @return number of executions in progress */
     std::size_t running() const;
 
 private:
-    /** One execution under way. */
-    struct Work {
+    /** One execution in progress. */
+    struct Execution {
         std::shared_ptr<net::Exchange> exchange;
         std::uint64_t run = 0;
         loop::TimerId timer = 0;
-        /** The deadline comes before the end of the service time. */
-        bool late = false;
+        /** The deadline is before the end of the service time. */
+        bool exceedsDeadline = false;
     };
 
     void onOrder(const std::shared_ptr<net::Exchange> &exchange, const std::string &target);
@@ -55,7 +55,7 @@
     void finish(std::uint64_t run);
     net::HttpAnswer answerFor(const net::HttpRequest &request, std::uint64_t run) const;
     bool isCold() const;
-    void noteLoad();
+    void recordLoad();
 
     loop::EventLoop &loop;
     UpstreamSettings settings;
@@ -63,15 +63,15 @@
     pcg32 random;
     Grants grants;
     Load load;
-    bool draining = false;
+    bool isDraining = false;
     double slowFactor = 1;
     BootTime slowUntil;
     BootTime coldUntil;
-    unsigned strain = 0;
-    std::unordered_map<std::uint64_t, Work> work;
+    unsigned coldExcess = 0;
+    std::unordered_map<std::uint64_t, Execution> executions;
     std::unordered_map<std::string, std::uint64_t> runOfRequest;
     std::unordered_set<std::string> cancelled;
-    std::deque<std::string> cancelledOrder;
+    std::deque<std::string> cancelledOldestFirst;
     std::unordered_set<std::string> peers;
 };
 
--- a/tools/upstream/UpstreamSettings.cpp
+++ b/tools/upstream/UpstreamSettings.cpp
@@ -33,14 +33,14 @@
 Example: upstream --service catalogue --name u1 --agent 127.0.0.1:7003 --ledger u1.ledger --slots 12
 )";
 
-constexpr double Many = 1e9;
+constexpr double MaxValue = 1e9;
 constexpr double MaxPort = 65535;
 
-double number(const char *flag, const char *text, double most, Findings &findings)
+double number(const char *flag, const char *text, double maximum, Findings &findings)
 {
     char *end = nullptr;
     const double value = std::strtod(text, &end);
-    if (end == text || *end != '\0' || value < 0 || value > most) {
+    if (end == text || *end != '\0' || value < 0 || value > maximum) {
         findings.push_back({std::string("--") + flag, std::string("'") + text + "' is out of range", ""});
         return 0;
     }
@@ -54,11 +54,11 @@
     UpstreamSettings settings;
     Findings findings;
     const char *flag = "";
-    const auto read = [&](const char *text, double most = Many) {
-        return number(flag, text, most, findings);
+    const auto read = [&](const char *text, double maximum = MaxValue) {
+        return number(flag, text, maximum, findings);
     };
-    using Take = std::function<void(const char *)>;
-    const std::array<std::pair<const char *, Take>, 16> takes = {{
+    using FlagHandler = std::function<void(const char *)>;
+    const std::array<std::pair<const char *, FlagHandler>, 16> handlers = {{
         {"service",
          [&](const char *text) {
              settings.service = text;
@@ -113,7 +113,7 @@
          }},
         {"cold-strain",
          [&](const char *text) {
-             settings.coldStrain = static_cast<unsigned>(read(text));
+             settings.maxColdExcess = static_cast<unsigned>(read(text));
          }},
         {"seed",
          [&](const char *text) {
@@ -124,12 +124,12 @@
              settings.checksGrants = true;
          }},
     }};
-    std::array<option, takes.size() + 2> options{};
-    for (std::size_t i = 0; i < takes.size(); ++i) {
-        const bool plain = std::string_view(takes[i].first) == "checks-grants";
-        options[i] = {takes[i].first, plain ? no_argument : required_argument, nullptr, static_cast<int>(i) + 1};
+    std::array<option, handlers.size() + 2> options{};
+    for (std::size_t i = 0; i < handlers.size(); ++i) {
+        const bool isSwitch = std::string_view(handlers[i].first) == "checks-grants";
+        options[i] = {handlers[i].first, isSwitch ? no_argument : required_argument, nullptr, static_cast<int>(i) + 1};
     }
-    options[takes.size()] = {"help", no_argument, nullptr, 'h'};
+    options[handlers.size()] = {"help", no_argument, nullptr, 'h'};
     for (int code = 0; (code = getopt_long(argc, argv, "", options.data(), nullptr)) != -1;) {
         if (code == 'h') {
             std::cout << Help;
@@ -139,9 +139,9 @@
             findings.push_back({"command line", "unknown flag or missing value", "--help"});
             continue;
         }
-        const auto &[name, take] = takes.at(static_cast<std::size_t>(code) - 1);
+        const auto &[name, handler] = handlers.at(static_cast<std::size_t>(code) - 1);
         flag = name;
-        take(optarg);
+        handler(optarg);
     }
     if (settings.service.empty()) {
         findings.push_back({"--service", "is missing", "--service NAME"});
--- a/tools/upstream/UpstreamSettings.h
+++ b/tools/upstream/UpstreamSettings.h
@@ -15,29 +15,29 @@
     std::uint16_t port = 0;
     /** IP:port of the agent's announce endpoint; empty for an upstream that is called directly. */
     std::string agent;
-    /** Empty for no ledger. */
+    /** Path of the ledger; empty for none. */
     std::string ledger;
-    /** Written with the port bound to, once listening; empty for none. */
+    /** Path of a file that receives the bound port once the upstream listens; empty for none. */
     std::string portFile;
     unsigned slots = 12;
     unsigned connections = 130;
     bool checksGrants = false;
-    /** Mean time of a request in its slot; 0 answers at once. */
+    /** Mean time that a request occupies its slot; 0 answers immediately. */
     std::chrono::microseconds serviceTime{1000};
     /** Share of the service time that varies, exponentially distributed; 0 to 1. */
     double jitter = 0.5;
-    /** Time of the upstream that each new connection takes. */
+    /** Service time that each new connection adds to its first request. */
     std::chrono::microseconds connectionCost{1000};
     /** How long the upstream is cold after its start. */
     std::chrono::milliseconds coldTime{0};
-    /** Requests it bears at once while cold; each one more makes all slower. */
+    /** Concurrent requests while cold without slowdown; each further one lengthens the service time of new requests. */
     unsigned coldSlots = 2;
-    /** Requests beyond its cold slots before it falls over; 0 for never. */
-    unsigned coldStrain = 0;
+    /** Requests beyond the cold slots before the process exits as if crashed; 0 for never. */
+    unsigned maxColdExcess = 0;
     std::uint64_t seed = 1;
 };
 
-/** @return the settings, or all findings; prints the help and ends the process for --help */
+/** @return the settings, or all findings; for --help prints the help and exits the process */
 Result<UpstreamSettings> parseSettings(int argc, char **argv);
 
 } // namespace bergamotweir::upstream
