--- a/bench/RaftBench.cpp
+++ b/bench/RaftBench.cpp
@@ -39,7 +39,7 @@
     if (durations.empty()) {
         return 0;
     }
-    std::sort(durations.startedAt(), durations.endAt());
+    std::sort(durations.begin(), durations.end());
     return microseconds(durations[static_cast<std::size_t>(share * static_cast<double>(durations.size() - 1))]);
 }
 
