--- a/bench/HttpPathBench.cpp
+++ b/bench/HttpPathBench.cpp
@@ -56,7 +56,8 @@
 
 } // namespace
 
-/** Usage: HttpPathBench [requests] [concurrency]. Client and server run in one process. */
+/** Usage: HttpPathBench [requests] [concurrency]. Each request is one client call and one server request, in one
+ * process. */
 int main(int argc, char **argv)
 {
     constexpr unsigned DefaultRequests = 100000;
--- a/tools/load/Generator.cpp
+++ b/tools/load/Generator.cpp
@@ -42,7 +42,7 @@
     case net::CallOutcome::TruncatedAnswer:
     case net::CallOutcome::TooLarge:
     case net::CallOutcome::Cancelled:
-        return Verdict::ConnectionLost;
+        return Verdict::IncompleteAnswer;
     }
     if (result.answer.status >= FirstRedirectStatus) {
         return refusedVerdict(result.answer);
--- a/tools/load/Outcome.cpp
+++ b/tools/load/Outcome.cpp
@@ -21,7 +21,7 @@
         return "timed_out";
     case Verdict::NotSent:
         return "not_sent";
-    case Verdict::ConnectionLost:
+    case Verdict::IncompleteAnswer:
         return "broken";
     case Verdict::Wrong:
         return "wrong";
--- a/tools/load/Outcome.h
+++ b/tools/load/Outcome.h
@@ -24,8 +24,8 @@
     TimedOut,
     /** The connection to the target could not be opened. */
     NotSent,
-    /** The connection was lost, or the answer was truncated or too large. */
-    ConnectionLost,
+    /** The connection was lost or the call cancelled, or the answer was truncated or too large. */
+    IncompleteAnswer,
     /** A 2xx answer that does not echo the request's Test-Id. */
     Wrong,
 };
--- a/tools/sessions/Main.cpp
+++ b/tools/sessions/Main.cpp
@@ -37,7 +37,8 @@
     std::vector<double> renewalMilliseconds;
 };
 
-/** The control session of one agent: announces an upstream, renews the lease and maintains the route map. */
+/** The control session of one agent: announces an upstream, renews the lease and maintains the route map as an agent
+ * does. */
 class Agent
 {
 public:
--- a/tools/upstream/StandIn.cpp
+++ b/tools/upstream/StandIn.cpp
@@ -176,8 +176,8 @@
         this->slowUntil = order.contains("slow_ms") ? now + milliseconds(order.value("slow_ms", 0)) : BootTime::max();
     }
     if (order.contains("lie_load")) {
-        const json &value = order["lie_load"];
-        this->load.falseLoad = value.is_number() ? std::optional<double>(value.get<double>()) : std::nullopt;
+        const json &falseLoad = order["lie_load"];
+        this->load.falseLoad = falseLoad.is_number() ? std::optional<double>(falseLoad.get<double>()) : std::nullopt;
     }
     this->load.lag = milliseconds(order.value("load_lag_ms", this->load.lag.count()));
     if (order.contains("cold_ms")) {
