--- a/src/control/State.cpp
+++ b/src/control/State.cpp
@@ -115,8 +115,8 @@
         if (!policy.keyed || this->sliceMaps.contains(service)) {
             continue;
         }
-        const std::uint64_t granularity = policy.numberedKeys ? NumberedKeyWidth : 1;
-        const auto added = this->sliceMaps.emplace(service, SliceMap::uniform(InitialSlices, granularity)).first;
+        const std::uint64_t alignment = policy.numberedKeys ? NumberedKeyWidth : 1;
+        const auto added = this->sliceMaps.emplace(service, SliceMap::uniform(InitialSlices, alignment)).first;
         saveSlices(service, added->second, *applied.update.add_services());
     }
 }
--- a/tests/LimitAllocatorTest.cpp
+++ b/tests/LimitAllocatorTest.cpp
@@ -60,7 +60,7 @@
 
 } // namespace
 
-TEST_CASE("limit book: shares are proportional to demand, and every agent gets at least one request")
+TEST_CASE("limit allocator: shares are proportional to demand, and every agent gets at least one request")
 {
     control::LimitAllocator allocator = allocatorAt(Start);
     report(allocator, "a", 9);
@@ -75,13 +75,13 @@
     REQUIRE(shareOfA + shareOfB + shareOfC <= 0.75);
 }
 
-TEST_CASE("limit book: an agent that has not reported its shares gets none")
+TEST_CASE("limit allocator: an agent that has not reported its shares gets none")
 {
     control::LimitAllocator allocator = allocatorAt(Start);
     REQUIRE(grantSharesTo(allocator, "a", Start).share_lease_ms() == 0);
 }
 
-TEST_CASE("limit book: permits are granted up to their part of the window")
+TEST_CASE("limit allocator: permits are granted up to their part of the window")
 {
     control::LimitAllocator allocator = allocatorAt(Start);
     report(allocator, "a", 9, 20);
@@ -93,7 +93,7 @@
 }
 
 // Guards against two agents using the same share: a grant may arrive late, after a smaller one was sent.
-TEST_CASE("limit book: a grant still in flight counts in addition to the one after it")
+TEST_CASE("limit allocator: a grant still in flight counts in addition to the one after it")
 {
     control::LimitAllocator allocator = allocatorAt(Start);
     report(allocator, "a", 9);
@@ -104,7 +104,7 @@
     REQUIRE(first + grantSharesTo(allocator, "b", Start, 1).shares(0).share() <= 0.76);
 }
 
-TEST_CASE("limit book: the share of a process that ended is reserved for the next one of that agent")
+TEST_CASE("limit allocator: the share of a process that ended is reserved for the next one of that agent")
 {
     control::LimitAllocator allocator = allocatorAt(Start);
     report(allocator, "a 1", 9);
--- a/tests/LoadSketchTest.cpp
+++ b/tests/LoadSketchTest.cpp
@@ -33,8 +33,9 @@
 
 } // namespace
 
-// A few percent of all requests go to one key among a hundred thousand, which control should give a slice of its own.
-// Guards against a sketch that loses the hot key because new keys displace it.
+// A few percent of all requests go to one key among hundreds of thousands. It alone fills its upstream, so control
+// should give it a slice of its own, apart from keys that other upstreams could serve. Guards against a sketch that
+// loses the hot key because new keys displace it.
 TEST_CASE("the hot key is reported among a hundred thousand others, and cold ones are not")
 {
     const agent::RouteMap map = twoSlices(1, 1);
--- a/tests/LoadTrackerTest.cpp
+++ b/tests/LoadTrackerTest.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr BootTime Start{100s};
-/** Work time per request of each upstream in seconds; VMs of one service differ in speed. */
+/** Work time per request of each upstream in seconds: four fast and two slow, as VMs of one service differ in speed. */
 constexpr std::array<float, 6> WorkSeconds{0.112F, 0.112F, 0.256F, 0.112F, 0.112F, 0.256F};
 constexpr double Slots = 12;
 constexpr double RequestsPerSecond = 300;
--- a/tests/RetryAfterTest.cpp
+++ b/tests/RetryAfterTest.cpp
@@ -10,7 +10,8 @@
 
 // Guards against a retry-after that is too short for the loss of an owner: a caller that retries after 0.2 s is refused
 // again and gives up half a second before the next owner serves the key.
-TEST_CASE("come back: longer without an owner than after an overload, jittered, and within callers' deadlines")
+TEST_CASE(
+    "retry-after: the delay is longer without an owner than after an overload, jittered, and within callers' deadlines")
 {
     pcg32 random(3);
     std::set<std::chrono::milliseconds> overloadedDelays;
